--- a/packages/decisions/src/admission/admission.ts
+++ b/packages/decisions/src/admission/admission.ts
@@ -1,53 +1,54 @@
 /**
- * What is let in when a pool runs out: first by priority, then by each organisation's share. A request that
- * cannot be answered in time is refused at once with the time to come back, so that capacity goes to answers
- * that are still wanted.
+ * Admission control of an upstream pool: sheds load by priority, then by organisation share. A
+ * request that would miss its deadline is rejected at once with a retry-after time instead of
+ * taking up capacity.
  */
 import type { Milliseconds } from '../types/clock.js'
 import { refuseNotRun, type Refusal } from '../types/verdict.js'
 import type { Priority } from '../table/tableRow.js'
 
-/** What a request asks of its pool. */
+/** The properties of a request that decide its admission. */
 export interface AdmissionRequest {
   organisation: string
   priority: Priority
-  /** A call that may not be repeated; it is shed last. */
+  /** The request is a non-idempotent call; these are shed last. */
   isCall: boolean
   deadline: Milliseconds
 }
 
-/** One organisation's use of a pool. */
+/** One organisation's requests in flight in a pool, and its weight there. */
 export interface PoolUse {
   inFlight: number
   share: number
 }
 
-/** The state of a pool at the choice of an upstream. */
-export interface PoolOutlook {
+/** The state of a pool at the time an upstream is chosen. */
+export interface PoolState {
   /** Predicted time until the first token at the chosen upstream. */
   firstToken: Milliseconds
-  /** Requests under way against slots, over the pool. */
+  /** Requests in flight divided by slots, over the whole pool. */
   utilisation: number
-  /** Whether calls that may not be repeated go to the pool too. */
+  /** Whether the pool also serves non-idempotent calls. */
   takesCalls: boolean
-  /** Use by organisation, in the whole pool as far as is known. */
+  /** Use by organisation over all boxes, as far as this box knows. */
   uses: ReadonlyMap<string, PoolUse>
 }
 
-/** Utilisation above which each priority is held to its organisation's share, and above which it is shed. */
+/** Utilisation above which requests of a priority are held to their organisation's share. */
 const SHARE_ABOVE: Record<Priority, number> = { low: 0.95, normal: 1, high: 1.1 }
+/** Utilisation above which requests of a priority are shed. */
 const SHED_ABOVE: Record<Priority, number> = { low: 1.1, normal: 1.15, high: 1.5 }
 const CALL_SHED_ABOVE = 3
-/** In a pool that takes calls too, all else is shed at this share of the usual bound, to keep them in time. */
-const SHED_FOR_CALLS = 0.75
-/** An organisation may use this many times its share before it is held back. */
+/** Scales `SHED_ABOVE` in a pool that serves calls, which reserves headroom for them. */
+const CALL_POOL_SHED_FACTOR = 0.75
+/** An organisation may exceed its share by this factor. */
 const SHARE_SLACK = 1.25
-const SOONEST_RETRY: Milliseconds = 250
+const SHORTEST_RETRY_AFTER: Milliseconds = 250
 
-/** Undefined when the request is let in. */
+/** Returns the refusal of a request, or undefined when it is admitted. */
 export function admit(
   request: AdmissionRequest,
-  pool: PoolOutlook,
+  pool: PoolState,
   now: Milliseconds,
 ): Refusal | undefined {
   if (now + pool.firstToken > request.deadline) {
@@ -76,12 +77,12 @@
   return undefined
 }
 
-function resolveShedBound(request: AdmissionRequest, pool: PoolOutlook): number {
+function resolveShedBound(request: AdmissionRequest, pool: PoolState): number {
   if (request.isCall) return CALL_SHED_ABOVE
-  return SHED_ABOVE[request.priority] * (pool.takesCalls ? SHED_FOR_CALLS : 1)
+  return SHED_ABOVE[request.priority] * (pool.takesCalls ? CALL_POOL_SHED_FACTOR : 1)
 }
 
-function isOverShare(organisation: string, pool: PoolOutlook): boolean {
+function isOverShare(organisation: string, pool: PoolState): boolean {
   const own = pool.uses.get(organisation)
   if (!own || own.inFlight === 0 || pool.uses.size < 2) return false
   let totalShare = 0
@@ -94,6 +95,6 @@
   return own.inFlight > (totalInFlight * own.share * SHARE_SLACK) / totalShare + 1
 }
 
-function retryAfterOf(pool: PoolOutlook): Milliseconds {
-  return Math.max(SOONEST_RETRY, Math.round(pool.firstToken / 2))
+function retryAfterOf(pool: PoolState): Milliseconds {
+  return Math.max(SHORTEST_RETRY_AFTER, Math.round(pool.firstToken / 2))
 }
--- a/packages/decisions/src/admission/retryBudget.ts
+++ b/packages/decisions/src/admission/retryBudget.ts
@@ -1,23 +1,24 @@
 /**
- * Retries and hedges are paid for by requests that went well, so that they cannot multiply the load on
- * upstreams that are down: in steady state at most a tenth of the requests is sent again.
+ * Retry budget: successful requests earn the tokens that retries and hedges spend, so that retries
+ * cannot multiply the load on failing upstreams. In steady state at most a tenth of the requests is
+ * retried.
  */
 export interface RetryBudget {
   tokens: number
 }
 
-const EARNED_PER_SUCCESS = 0.1
-const LARGEST_BALANCE = 20
+const TOKENS_PER_SUCCESS = 0.1
+const MAX_TOKENS = 20
 
 export function createRetryBudget(): RetryBudget {
-  return { tokens: LARGEST_BALANCE / 2 }
+  return { tokens: MAX_TOKENS / 2 }
 }
 
 export function earnRetry(budget: RetryBudget): void {
-  budget.tokens = Math.min(LARGEST_BALANCE, budget.tokens + EARNED_PER_SUCCESS)
+  budget.tokens = Math.min(MAX_TOKENS, budget.tokens + TOKENS_PER_SUCCESS)
 }
 
-/** Takes the right to send a request once more. */
+/** Takes the token for one retry or hedge. Returns false when the budget is exhausted. */
 export function spendRetry(budget: RetryBudget): boolean {
   if (budget.tokens < 1) return false
   budget.tokens -= 1
--- a/packages/decisions/src/admission/retryShare.ts
+++ b/packages/decisions/src/admission/retryShare.ts
@@ -1,10 +1,10 @@
 import type { Milliseconds } from '../types/clock.js'
 
-/** A retry budget that holds for all boxes together. */
+/** Limits of a retry budget that all boxes share. */
 export interface RetryShareLimits {
-  /** Requests sent once more for each request, within the window. */
+  /** Retries per request within the window. */
   ratio: number
-  /** Requests sent once more beyond that, for all boxes together. */
+  /** Retries allowed beyond the ratio within the window, over all boxes. */
   slack: number
   window: Milliseconds
 }
@@ -12,35 +12,41 @@
 export interface RetryShareOptions {
   limits: RetryShareLimits
   /**
-   * From when the box may use its part of the slack. A run that follows another waits for a window, since the last run may
-   * have spent that part: seven boxes that restarted three times in 8 s spent 168 retries of 50 (played on a moved clock).
+   * The time from which the box may use its part of the slack. A restarted box waits for one
+   * window, because its previous process may have spent that part already.
    */
   slackFrom: Milliseconds
 }
 
 /**
- * This box's part of a retry budget that holds for all boxes together: a share of its own requests, and an
- * equal part of the fixed slack. The parts of all boxes add up to the budget however requests are spread.
+ * This box's part of a shared retry budget: the ratio of its own requests, and an equal part of the
+ * slack. The parts of all boxes never add up to more than the budget, however requests are
+ * distributed.
  */
 export interface RetryShare extends RetryShareOptions {
+  /** Ring buffer of counts over time slots. */
   slots: { requests: number; retries: number }[]
-  /** Number of the newest slot since the clock's start. */
+  /** Number of the newest slot, counted from clock time 0. */
   newest: number
 }
 
-/** The budget holds for each service by itself: requests for one earn another no retries. */
+/** Separate budgets by service: requests to one service earn no retries for another. */
 export interface RetryShares extends RetryShareOptions {
   byService: Map<string, RetryShare>
 }
 
+/** Slots per window. */
 const SLOTS = 10
 /**
- * Requests count for a little less than a window, retries for a little more: with one slot fewer, retries at the end of the
- * oldest slot were forgotten 1 s early, and the budget could be spent twice in 9 s.
+ * Retries are counted for one slot longer than requests, so that a retry late in the oldest slot
+ * still counts for the whole window.
  */
 const KEPT_SLOTS = SLOTS + 1
-/** Part of the budget that is used: the rest covers boxes that do not know of each other yet. */
-const USED_PART = 0.9
+/**
+ * Fraction of the budget that is used; the remainder covers boxes that have not discovered each
+ * other yet.
+ */
+const USABLE_FRACTION = 0.9
 
 export function createRetryShare({ limits, slackFrom }: RetryShareOptions): RetryShare {
   const slots = Array.from({ length: KEPT_SLOTS }, () => ({ requests: 0, retries: 0 }))
@@ -51,7 +57,9 @@
   return { limits, slackFrom, byService: new Map() }
 }
 
-/** This box's part of the budget of a service. */
+/**
+ * Returns this box's part of a service's budget, under the current limits; creates it on first use.
+ */
 export function retryShareOf(shares: RetryShares, service: string): RetryShare {
   const { limits, byService } = shares
   const share = byService.get(service) ?? createRetryShare(shares)
@@ -74,7 +82,9 @@
   slotAt(share, now).requests++
 }
 
-/** Whether a request may be sent once more. `boxes`: how many share the slack; infinite where nobody can say. */
+/**
+ * Whether the budget allows a retry. `boxes`: how many share the slack, `Infinity` when unknown.
+ */
 export function hasRetry(share: RetryShare, boxes: number, now: Milliseconds): boolean {
   slotAt(share, now)
   const oldest = share.slots[(share.newest + 1) % KEPT_SLOTS]!
@@ -82,10 +92,10 @@
   const retries = share.slots.reduce((sum, slot) => sum + slot.retries, 0)
   const { ratio, slack } = share.limits
   const slackPart = now < share.slackFrom ? 0 : slack / Math.max(1, boxes)
-  return retries + 1 <= USED_PART * (ratio * requests + slackPart)
+  return retries + 1 <= USABLE_FRACTION * (ratio * requests + slackPart)
 }
 
-/** Takes the right to send a request once more. */
+/** Takes one retry from the budget. Returns false when the budget is exhausted. */
 export function takeRetry(share: RetryShare, boxes: number, now: Milliseconds): boolean {
   if (!hasRetry(share, boxes, now)) return false
   slotAt(share, now).retries++
--- a/packages/decisions/src/allowances/allowance.ts
+++ b/packages/decisions/src/allowances/allowance.ts
@@ -1,12 +1,15 @@
 /**
- * Spend limits without a control box. A box draws a part of an organisation's day limit from the store ahead
- * of use, reserves from it before each request, and settles afterwards. What no box has drawn cannot be spent,
- * so the sum over all boxes never passes the limit, whoever dies or pauses; a box that dies takes what it had
- * drawn and not used out of the day. With the store out a box spends what it has drawn and then refuses.
+ * Decentralised spend limits. A box draws a part of an organisation's daily limit from the store
+ * ahead of use, reserves from it before each request and settles afterwards. Only drawn amounts can
+ * be spent, so the total over all boxes never exceeds the limit, even when boxes crash or pause;
+ * what a crashed box had drawn but not used is lost for the day. While the store is unavailable a
+ * box spends what it has drawn, then refuses.
  */
 import type { Milliseconds } from '../types/clock.js'
 
-/** Store row: what boxes have drawn of an organisation's day, in millionths of a currency unit. */
+/**
+ * Store row: the total drawn from an organisation's daily limit, in millionths of a currency unit.
+ */
 export interface SpendRow {
   drawn: number
 }
@@ -15,12 +18,12 @@
   return `spend/${day}/${organisation}`
 }
 
-/** The day of a wall time, `2026-12-02`. */
+/** Formats the UTC day of a wall-clock time, such as `2026-12-02`. */
 export function dayOf(wallTime: Milliseconds): string {
   return new Date(wallTime).toISOString().slice(0, 10)
 }
 
-/** One box's part of one organisation's day. Amounts in millionths of a currency unit. */
+/** One box's part of an organisation's daily limit. Amounts in millionths of a currency unit. */
 export interface Allowance {
   day: string
   drawn: number
@@ -29,20 +32,24 @@
   /** Decaying estimate of spend, millionths per millisecond. */
   rate: number
   rateAt: Milliseconds
+  /** A draw from the store is in progress. */
   drawing: boolean
-  /** The store has nothing left for the day. */
+  /** The daily limit has been drawn completely. */
   exhausted: boolean
 }
 
-/** A draw is asked for when less than this much time's spend is left. */
-const DRAW_BELOW: Milliseconds = 180_000
-/** A draw asks for this much time's spend: longer than an outage of the store that should not be felt. */
-const DRAW_FOR: Milliseconds = 480_000
-const RATE_MEMORY: Milliseconds = 60_000
-/** The first draw of a day, as a share of the limit. */
-const FIRST_DRAW_SHARE = 1 / 200
-/** One draw never takes more than this share of what is left, so that the end of a day is shared by all boxes. */
-const SHARE_OF_REST = 1 / 10
+/** The box draws when what it has left covers less than this time at the current rate. */
+const LOW_WATER_MARK: Milliseconds = 180_000
+/** Time that a draw covers at the current rate: longer than a store outage to be bridged. */
+const DRAW_SPAN: Milliseconds = 480_000
+/** Time constant of the decaying spend rate. */
+const RATE_TIME_CONSTANT: Milliseconds = 60_000
+/** The smallest draw, as a share of the daily limit. */
+const MIN_DRAW_SHARE = 1 / 200
+/**
+ * Largest draw as a share of the undrawn amount, so that all boxes get a part of the last of it.
+ */
+const MAX_SHARE_OF_UNDRAWN = 1 / 10
 
 export function createAllowance(day: string, now: Milliseconds): Allowance {
   return {
@@ -57,18 +64,19 @@
   }
 }
 
+/** The amount drawn that is neither used nor reserved. */
 export function leftOf(allowance: Allowance): number {
   return allowance.drawn - allowance.used - allowance.reserved
 }
 
-/** Reserves `amount` if the box has drawn that much. */
+/** Reserves `amount`. Returns false when less than that is left. */
 export function reserve(allowance: Allowance, amount: number): boolean {
   if (leftOf(allowance) < amount) return false
   allowance.reserved += amount
   return true
 }
 
-/** Turns a reservation into what the request really cost. */
+/** Replaces a reservation by the actual cost of the request. */
 export function settle(
   allowance: Allowance,
   reserved: number,
@@ -77,12 +85,15 @@
 ): void {
   allowance.reserved -= reserved
   allowance.used += actual
-  const kept = Math.exp(-(now - allowance.rateAt) / RATE_MEMORY)
-  allowance.rate = allowance.rate * kept + actual / RATE_MEMORY
+  const kept = Math.exp(-(now - allowance.rateAt) / RATE_TIME_CONSTANT)
+  allowance.rate = allowance.rate * kept + actual / RATE_TIME_CONSTANT
   allowance.rateAt = now
 }
 
-/** How much to ask the store for, 0 when nothing is needed. `needed`: what a waiting request lacks. */
+/**
+ * The amount to draw from the store, 0 for none. `needed`: the amount that a waiting request
+ * requires.
+ */
 export function wantedDraw(
   allowance: Allowance,
   dayLimit: number,
@@ -90,16 +101,16 @@
   now: Milliseconds,
 ): number {
   if (allowance.drawing || allowance.exhausted) return 0
-  const rate = allowance.rate * Math.exp(-(now - allowance.rateAt) / RATE_MEMORY)
+  const rate = allowance.rate * Math.exp(-(now - allowance.rateAt) / RATE_TIME_CONSTANT)
   const left = leftOf(allowance)
-  const isLow = left < needed || left < rate * DRAW_BELOW || allowance.drawn === 0
+  const isLow = left < needed || left < rate * LOW_WATER_MARK || allowance.drawn === 0
   if (!isLow) return 0
-  return Math.ceil(Math.max(needed * 2, rate * DRAW_FOR, dayLimit * FIRST_DRAW_SHARE))
+  return Math.ceil(Math.max(needed * 2, rate * DRAW_SPAN, dayLimit * MIN_DRAW_SHARE))
 }
 
-/** What the store row grants of a wanted draw. */
+/** The part of a wanted draw that the store row grants. */
 export function grantOf(row: SpendRow, dayLimit: number, wanted: number, needed: number): number {
-  const rest = Math.max(0, dayLimit - row.drawn)
-  const fair = Math.max(Math.floor(rest * SHARE_OF_REST), Math.min(needed, rest))
+  const undrawn = Math.max(0, dayLimit - row.drawn)
+  const fair = Math.max(Math.floor(undrawn * MAX_SHARE_OF_UNDRAWN), Math.min(needed, undrawn))
   return Math.min(wanted, fair)
 }
--- a/packages/decisions/src/allowances/rateLimiter.ts
+++ b/packages/decisions/src/allowances/rateLimiter.ts
@@ -1,22 +1,23 @@
 import type { Milliseconds } from '../types/clock.js'
 
-/** A bucket that fills at a rate and holds at most `BURST` worth of it. */
+/** A token bucket. Its capacity is what the rate refills in `BURST_SPAN`. */
 export interface RateBucket {
   tokens: number
+  /** Time of the last refill. */
   at: Milliseconds
 }
 
-const BURST: Milliseconds = 1_000
-/** A box keeps this share of an even split for a caller that turns up unannounced. */
-const FLOOR_OF_EVEN_SPLIT = 0.25
+const BURST_SPAN: Milliseconds = 1_000
+/** Smallest part of a box, as a share of an even split: admits callers that are new at the box. */
+const MIN_SHARE_OF_EVEN_SPLIT = 0.25
 
 export function createRateBucket(limitPerSecond: number, now: Milliseconds): RateBucket {
-  return { tokens: (limitPerSecond * BURST) / 1_000, at: now }
+  return { tokens: (limitPerSecond * BURST_SPAN) / 1_000, at: now }
 }
 
-/** Takes one token, if there is one, from a bucket that fills at `limitPerSecond`. */
+/** Refills the bucket at `limitPerSecond` and takes one token. Returns false when there is none. */
 export function takeToken(bucket: RateBucket, limitPerSecond: number, now: Milliseconds): boolean {
-  const capacity = Math.max(1, (limitPerSecond * BURST) / 1_000)
+  const capacity = Math.max(1, (limitPerSecond * BURST_SPAN) / 1_000)
   bucket.tokens = Math.min(capacity, bucket.tokens + ((now - bucket.at) * limitPerSecond) / 1_000)
   bucket.at = now
   if (bucket.tokens < 1) return false
@@ -25,9 +26,9 @@
 }
 
 /**
- * A box's part of a limit that all boxes share: by its part of the demand that boxes tell each other of, and
- * never less than a floor. The sum over all boxes passes the limit by at most the floor's share, 25 %, and
- * only while demand moves faster than the heartbeats that tell of it.
+ * A box's part of a rate limit that all boxes share, in proportion to its part of the demand in
+ * heartbeats, and at least a floor. The parts add up to at most 25 % (the floor's share) above the
+ * limit when all boxes see the same demand.
  */
 export function shareOfLimit(
   limitPerSecond: number,
@@ -35,7 +36,7 @@
   totalDemand: number,
   boxes: number,
 ): number {
-  const floor = (limitPerSecond / boxes) * FLOOR_OF_EVEN_SPLIT
+  const floor = (limitPerSecond / boxes) * MIN_SHARE_OF_EVEN_SPLIT
   if (totalDemand <= 0) return limitPerSecond / boxes
   return Math.max(floor, limitPerSecond * (ownDemand / totalDemand))
 }
--- a/packages/decisions/src/bills/bill.ts
+++ b/packages/decisions/src/bills/bill.ts
@@ -5,10 +5,10 @@
   completionTokens: number
 }
 
-/** How a request ended. `cut-off`: the caller got part of the answer. */
+/** How a request ended. `cut-off`: the caller received part of the answer. */
 export type BillOutcome = 'answered' | 'cancelled' | 'cut-off'
 
-/** One use of an upstream for a request. A cascade that escalates has several. */
+/** One use of an upstream for a request. A cascade that escalates adds one line per stage. */
 export interface BillLine {
   model: string
   version: string
@@ -18,14 +18,14 @@
   cost: number
 }
 
-/** What a request costs its organisation. `open` until it has ended. */
+/** The cost of a request to its organisation. `open` until the request has ended. */
 export interface Bill {
   requestId: string
   organisation: string
   openedAt: Milliseconds
   stage: 'open' | 'closed'
   outcome?: BillOutcome
-  /** The stream at the upstream, so that another box can ask how it ended or take it up again. */
+  /** The upstream's stream, so that another box can query its outcome or resume it. */
   stream?: { upstream: string; id: string }
   lines: BillLine[]
 }
@@ -36,6 +36,7 @@
   return `${BILL_PREFIX}${requestId}`
 }
 
+/** Total cost in millionths of a currency unit. */
 export function billCost(bill: Bill): number {
   return bill.lines.reduce((sum, line) => sum + line.cost, 0)
 }
--- a/packages/decisions/src/bills/billLedger.ts
+++ b/packages/decisions/src/bills/billLedger.ts
@@ -1,22 +1,22 @@
 /**
- * Keeps bills from the moment a request goes to an upstream until the store has them.
+ * Replicates bills from the time a request is sent to an upstream until its bill is stored.
  *
- * A bill is one row of the store under the request's id, created only if absent: whoever writes it and
- * however often, it stands once. Until it is written it is held by this box and by witnesses in other data
- * centres. The caller gets the first byte only when the witnesses hold the open bill, and the last byte only
- * when they hold the closed one. A witness that finds the owner gone takes its bills over as its own.
+ * A bill is one store row keyed by the request's id and created only if absent, so writes are
+ * idempotent whichever box makes them. Until then the owner and its witnesses (replicas in other
+ * data centres) hold it. The caller gets the first byte only after all witnesses acknowledged the
+ * open bill, and the last byte only after they acknowledged the closed one. When the owner is gone,
+ * a witness adopts its bills.
  */
 import { createTransition, type HandlerTable, type MessageOf } from '../types/transition.js'
 import type { VoterId } from '../membership/voters.js'
 import type { Bill } from './bill.js'
 
-/** Limits of a ledger. */
 export interface LedgerLimits {
-  /** Bills of this box that wait for the store. Beyond it new work is refused. */
+  /** Own bills that are not stored yet. At this number new requests are refused. */
   waitingBills: number
-  /** Bills held for other boxes. */
+  /** Bills held as a witness. Beyond this, further bills are not acknowledged. */
   heldBills: number
-  /** Bills in one transaction. */
+  /** Bills per store transaction. */
   batchBills: number
 }
 
@@ -29,20 +29,21 @@
 interface OwnBill {
   bill: Bill
   witnesses: VoterId[]
-  /** Witnesses that hold the bill at its present stage. */
+  /** Witnesses that acknowledged the bill at its current stage. */
   heldBy: Set<VoterId>
 }
 
-/** State of one box's ledger. */
 export interface LedgerState {
   self: VoterId
   limits: LedgerLimits
   own: Map<string, OwnBill>
-  /** Bills held as a witness, by owner. */
+  /** Bills held as a witness, by owner and request id. */
   held: Map<VoterId, Map<string, Bill>>
+  /** Number of bills in `held`, over all owners. */
   heldCount: number
-  /** Closed bills that no batch holds, oldest first. */
+  /** Request ids of closed bills that are not in the current batch, oldest first. */
   queue: string[]
+  /** The batch that is being written; at most one at a time. */
   batch?: { id: number; requestIds: string[] }
   nextBatch: number
 }
@@ -50,14 +51,17 @@
 export type LedgerMessage =
   | { type: 'open'; bill: Bill; witnesses: VoterId[] }
   | { type: 'close'; bill: Bill }
-  /** The request is known not to have run: there is nothing to bill. */
+  /** The request is known not to have run: drops its bill. */
   | { type: 'void'; requestId: string }
+  /** A witness acknowledged a bill. */
   | { type: 'held'; requestId: string; stage: Bill['stage']; by: VoterId }
+  /** A witness is gone; without `by` the remaining witnesses suffice. */
   | { type: 'replace-witness'; gone: VoterId; by?: VoterId }
-  /** `complete`: the owner has no other bills that this box should hold. */
+  /** Bills to hold as a witness. `complete`: bills of the owner that are not listed are dropped. */
   | { type: 'hold'; owner: VoterId; bills: Bill[]; complete?: boolean }
-  /** The link to a peer is new: what was sent before may be lost. */
+  /** The connection to a peer is new: earlier messages may be lost. */
   | { type: 'peer-connected'; peer: VoterId }
+  /** The owner's bills are stored or void: a witness drops them. */
   | { type: 'release'; owner: VoterId; requestIds: string[] }
   | { type: 'owner-gone'; owner: VoterId; witnesses: VoterId[] }
   | { type: 'flush' }
@@ -67,20 +71,21 @@
 export type LedgerEffect =
   | { type: 'send-hold'; to: VoterId; bills: Bill[]; complete?: boolean }
   | { type: 'confirm-held'; to: VoterId; stage: Bill['stage']; requestIds: string[] }
+  /** All witnesses hold the bill at this stage. */
   | { type: 'protected'; requestId: string; stage: Bill['stage'] }
   | { type: 'send-release'; to: VoterId; requestIds: string[] }
   | { type: 'write-batch'; id: number; bills: Bill[] }
   | { type: 'written'; requestIds: string[] }
-  /** An open bill of a box that is gone: ask the upstream how the stream ended, then `close`. */
+  /** An adopted bill is open: query the upstream for the stream's outcome, then send `close`. */
   | { type: 'reconcile'; bill: Bill }
 
-type Of<Type extends LedgerMessage['type']> = MessageOf<LedgerMessage, Type>
+type LedgerMessageOf<Type extends LedgerMessage['type']> = MessageOf<LedgerMessage, Type>
 
 const HANDLERS: HandlerTable<LedgerState, LedgerMessage, LedgerEffect> = {
   open: openBill,
   close: closeBill,
   void: voidBill,
-  held: countHeld,
+  held: recordAcknowledgement,
   'replace-witness': replaceWitness,
   'peer-connected': resendBills,
   hold: holdForPeer,
@@ -88,7 +93,7 @@
   'owner-gone': adoptBills,
   flush: writeNextBatch,
   'batch-written': finishBatch,
-  'batch-failed': returnBatch,
+  'batch-failed': requeueBatch,
 }
 
 export function createLedgerState(
@@ -98,24 +103,27 @@
   return { self, limits, own: new Map(), held: new Map(), heldCount: 0, queue: [], nextBatch: 1 }
 }
 
-/** Decides where each bill stands and what is to be sent or written. */
+/** Applies a message to the ledger and returns what to send and write. */
 export const ledgerTransition = createTransition(HANDLERS)
 
-/** Whether the ledger can take the bill of one more request. */
+/** Whether the ledger has capacity for another request's bill. */
 export function hasRoomForBill(state: LedgerState): boolean {
   return state.own.size < state.limits.waitingBills
 }
 
-/** Whether enough boxes hold the bill for the next part of the answer to go out. */
+/** Whether all witnesses hold the bill at `stage`, so that the answer may proceed. */
 export function isProtected(state: LedgerState, requestId: string, stage: Bill['stage']): boolean {
   const own = state.own.get(requestId)
-  // A bill that is gone from the ledger stands in the store.
+  // Bills leave the ledger once they are stored.
   if (!own) return true
   if (stage === 'closed' && own.bill.stage === 'open') return false
   return own.witnesses.length > 0 && own.heldBy.size >= own.witnesses.length
 }
 
-function openBill(state: LedgerState, { bill, witnesses }: Of<'open'>): LedgerEffect[] {
+function openBill(
+  state: LedgerState,
+  { bill, witnesses }: LedgerMessageOf<'open'>,
+): LedgerEffect[] {
   state.own.set(bill.requestId, {
     bill,
     witnesses,
@@ -124,7 +132,7 @@
   return witnesses.map(to => ({ type: 'send-hold', to, bills: [bill] }))
 }
 
-function closeBill(state: LedgerState, { bill }: Of<'close'>): LedgerEffect[] {
+function closeBill(state: LedgerState, { bill }: LedgerMessageOf<'close'>): LedgerEffect[] {
   const own = state.own.get(bill.requestId)
   if (!own || own.bill.stage === 'closed') return []
   own.bill = { ...bill, stage: 'closed' }
@@ -133,14 +141,17 @@
   return own.witnesses.map(to => ({ type: 'send-hold', to, bills: [own.bill] }))
 }
 
-function voidBill(state: LedgerState, { requestId }: Of<'void'>): LedgerEffect[] {
+function voidBill(state: LedgerState, { requestId }: LedgerMessageOf<'void'>): LedgerEffect[] {
   const own = state.own.get(requestId)
   if (!own || own.bill.stage === 'closed') return []
   state.own.delete(requestId)
   return releaseFrom(own, [requestId])
 }
 
-function countHeld(state: LedgerState, { requestId, stage, by }: Of<'held'>): LedgerEffect[] {
+function recordAcknowledgement(
+  state: LedgerState,
+  { requestId, stage, by }: LedgerMessageOf<'held'>,
+): LedgerEffect[] {
   const own = state.own.get(requestId)
   if (!own || own.bill.stage !== stage || !own.witnesses.includes(by)) return []
   own.heldBy.add(by)
@@ -152,8 +163,11 @@
   return [{ type: 'protected', requestId: own.bill.requestId, stage: own.bill.stage }]
 }
 
-/** A witness is gone: another takes its place, or the bill is guarded by the rest. */
-function replaceWitness(state: LedgerState, { gone, by }: Of<'replace-witness'>): LedgerEffect[] {
+/** Replaces a witness that is gone; without a replacement the remaining witnesses suffice. */
+function replaceWitness(
+  state: LedgerState,
+  { gone, by }: LedgerMessageOf<'replace-witness'>,
+): LedgerEffect[] {
   const bills: Bill[] = []
   const effects: LedgerEffect[] = []
   for (const own of state.own.values()) {
@@ -169,31 +183,40 @@
   return effects
 }
 
-function resendBills(state: LedgerState, { peer }: Of<'peer-connected'>): LedgerEffect[] {
+function resendBills(
+  state: LedgerState,
+  { peer }: LedgerMessageOf<'peer-connected'>,
+): LedgerEffect[] {
   const bills = [...state.own.values()]
     .filter(own => own.witnesses.includes(peer))
     .map(own => own.bill)
   return [{ type: 'send-hold', to: peer, bills, complete: true }]
 }
 
-function holdForPeer(state: LedgerState, { owner, bills, complete }: Of<'hold'>): LedgerEffect[] {
-  const held = heldFor(state, owner)
-  if (complete) dropOthers(state, held, bills)
-  const taken: Record<Bill['stage'], string[]> = { open: [], closed: [] }
+function holdForPeer(
+  state: LedgerState,
+  { owner, bills, complete }: LedgerMessageOf<'hold'>,
+): LedgerEffect[] {
+  const held = heldBillsOf(state, owner)
+  if (complete) dropUnlisted(state, held, bills)
+  const acknowledged: Record<Bill['stage'], string[]> = { open: [], closed: [] }
   for (const bill of bills) {
     const known = held.get(bill.requestId)
     if (!known && state.heldCount >= state.limits.heldBills) continue
     if (!known) state.heldCount++
-    // A late open bill must not hide the closed one.
+    // A delayed open bill must not overwrite the closed one.
     if (known?.stage !== 'closed') held.set(bill.requestId, bill)
-    taken[bill.stage].push(bill.requestId)
+    acknowledged[bill.stage].push(bill.requestId)
   }
   return (['open', 'closed'] as const)
-    .filter(stage => taken[stage].length > 0)
-    .map(stage => ({ type: 'confirm-held', to: owner, stage, requestIds: taken[stage] }))
+    .filter(stage => acknowledged[stage].length > 0)
+    .map(stage => ({ type: 'confirm-held', to: owner, stage, requestIds: acknowledged[stage] }))
 }
 
-function releaseForPeer(state: LedgerState, { owner, requestIds }: Of<'release'>): LedgerEffect[] {
+function releaseForPeer(
+  state: LedgerState,
+  { owner, requestIds }: LedgerMessageOf<'release'>,
+): LedgerEffect[] {
   const held = state.held.get(owner)
   if (!held) return []
   for (const requestId of requestIds) {
@@ -203,8 +226,11 @@
   return []
 }
 
-/** The bills of a box that is gone become this box's own, guarded by new witnesses. */
-function adoptBills(state: LedgerState, { owner, witnesses }: Of<'owner-gone'>): LedgerEffect[] {
+/** Adopts the bills of an owner that is gone, with new witnesses. */
+function adoptBills(
+  state: LedgerState,
+  { owner, witnesses }: LedgerMessageOf<'owner-gone'>,
+): LedgerEffect[] {
   const held = state.held.get(owner)
   if (!held) return []
   state.held.delete(owner)
@@ -235,8 +261,13 @@
   return [{ type: 'write-batch', id: state.batch.id, bills }]
 }
 
-/** Every bill of `requestIds` stands in the store, by this box's hand or by another's. */
-function finishBatch(state: LedgerState, { id, requestIds }: Of<'batch-written'>): LedgerEffect[] {
+/**
+ * Releases the bills of `requestIds`, which are in the store, and requeues the rest of the batch.
+ */
+function finishBatch(
+  state: LedgerState,
+  { id, requestIds }: LedgerMessageOf<'batch-written'>,
+): LedgerEffect[] {
   if (state.batch?.id !== id) return []
   const written = new Set(requestIds)
   state.queue.unshift(...state.batch.requestIds.filter(requestId => !written.has(requestId)))
@@ -256,7 +287,8 @@
   ]
 }
 
-function returnBatch(state: LedgerState, { id }: Of<'batch-failed'>): LedgerEffect[] {
+/** Requeues a failed batch ahead of newer bills. */
+function requeueBatch(state: LedgerState, { id }: LedgerMessageOf<'batch-failed'>): LedgerEffect[] {
   if (state.batch?.id !== id) return []
   state.queue.unshift(...state.batch.requestIds)
   delete state.batch
@@ -267,7 +299,8 @@
   return own.witnesses.map(to => ({ type: 'send-release', to, requestIds }))
 }
 
-function dropOthers(state: LedgerState, held: Map<string, Bill>, bills: readonly Bill[]): void {
+/** Drops the held bills that are not in `bills`. */
+function dropUnlisted(state: LedgerState, held: Map<string, Bill>, bills: readonly Bill[]): void {
   const kept = new Set(bills.map(bill => bill.requestId))
   for (const requestId of held.keys()) {
     if (kept.has(requestId)) continue
@@ -276,7 +309,7 @@
   }
 }
 
-function heldFor(state: LedgerState, owner: VoterId): Map<string, Bill> {
+function heldBillsOf(state: LedgerState, owner: VoterId): Map<string, Bill> {
   const known = state.held.get(owner)
   if (known) return known
   const created = new Map<string, Bill>()
--- a/packages/decisions/src/bills/resolveWitnesses.ts
+++ b/packages/decisions/src/bills/resolveWitnesses.ts
@@ -1,17 +1,18 @@
 import { rankByRendezvous } from '../utils/rendezvousHash.js'
 
-/** A box that may hold bills for another. */
+/** A box, as a possible witness of another box's bills. */
 export interface WitnessCandidate {
   voter: string
   dataCentre: string
 }
 
-/** A bill survives the loss of any two boxes: its owner and two witnesses hold it. */
+/** With its owner, three boxes hold a bill, so that it survives the loss of any two. */
 export const WITNESS_COUNT = 2
 
 /**
- * The boxes that hold a box's bills: in data centres other than its own and other than each other's, as far
- * as there are any. The same for all bills of a box, so that holds can be sent together.
+ * Selects the witnesses of a box's bills by rendezvous hashing, in distinct data centres other than
+ * its own where possible. All bills of a box share the same witnesses, so that they can be sent in
+ * batches.
  */
 export function resolveWitnesses(
   self: WitnessCandidate,
--- a/packages/decisions/src/budgets/rest.ts
+++ b/packages/decisions/src/budgets/rest.ts
@@ -1,37 +1,41 @@
 import type { Milliseconds } from '../types/clock.js'
 
-/** An upstream is believed for so long; one that asks for more is asked once in this time how it is. */
-const LONGEST_REST: Milliseconds = 3_600_000
-/** After its rest an upstream is sent one request in this time ... */
+/** Upper bound of a back-off, so that an upstream that asks for more is still probed this often. */
+const MAX_BACK_OFF: Milliseconds = 3_600_000
+/** Interval between a box's requests to an upstream that has just come out of its back-off. */
 export const RETURN_EVERY: Milliseconds = 100
-/** ... until it has answered one, or so much later. */
-const RETURN_SPAN: Milliseconds = 1_000
+/** Time after the back-off for which `RETURN_EVERY` applies; an answer ends it earlier. */
+const RECOVERY_SPAN: Milliseconds = 1_000
 
-/** Statuses with which an upstream turns a request away, and may ask for rest. */
+/** Statuses with which an upstream rejects a request and may ask for a back-off. */
 export const TURNS_AWAY: ReadonlySet<number> = new Set([429, 503])
 
-/** No rest was asked for. */
+/** The back-off of an upstream that asked for none. */
 export const NO_REST: Milliseconds = -Infinity
 
-/** Until when a box leaves an upstream alone that asks it for a rest of `span`. A shorter one does not end a longer. */
+/**
+ * The end of the back-off after an upstream asked for one of `span`; never earlier than the known
+ * end.
+ */
 export function restUntil(
   known: Milliseconds,
   span: Milliseconds,
   now: Milliseconds,
 ): Milliseconds {
   if (span <= 0) return known
-  return Math.max(known, now + Math.min(span, LONGEST_REST))
+  return Math.max(known, now + Math.min(span, MAX_BACK_OFF))
 }
 
 /**
- * When a box may next send to an upstream that it leaves alone until `until`; undefined where nothing holds it back. Whatever waited for the
- * end of the rest does not come at once: the first request shows whether the upstream takes more.
+ * When a box may next send to an upstream whose back-off ends at `until`; undefined where the
+ * back-off no longer limits it. Requests resume one at a time, so that queued ones do not arrive as
+ * a burst.
  */
 export function restOpensAt(
   until: Milliseconds,
   lastSentAt: Milliseconds | undefined,
   now: Milliseconds,
 ): Milliseconds | undefined {
-  if (now >= until + RETURN_SPAN) return undefined
+  if (now >= until + RECOVERY_SPAN) return undefined
   return Math.max(until, (lastSentAt ?? -Infinity) + RETURN_EVERY)
 }
--- a/packages/decisions/src/budgets/statedLimit.ts
+++ b/packages/decisions/src/budgets/statedLimit.ts
@@ -1,35 +1,42 @@
 import type { Milliseconds } from '../types/clock.js'
 
-/** What all boxes know together of the limit that an upstream names. */
+/** The rate limit that an upstream advertises, as the boxes gossip it. */
 export interface SharedLimit {
-  /** Requests a second of all boxes together; undefined where the newest answer names none. */
+  /** Requests a second over all boxes; undefined where the latest answer advertised none. */
   perSecond?: number
-  /** Rises with each answer that is told of: the higher is the newer, at whatever box it came. */
+  /** Increases with each answer that is gossiped; on all boxes the higher version is the newer. */
   version: number
-  /** The group of boxes that sends; the next follows when nothing was heard for a while. */
+  /** Number of the group of senders; the next group takes over when this one is idle. */
   turn: number
 }
 
-/** What a box knows of the limit that one run of an upstream names. */
+/** A box's state of the limit that one run of an upstream advertises. */
 export interface StatedLimit extends SharedLimit {
-  /** When this box last heard of an answer, of its own or another's. */
+  /** When this box last gossiped its own answer or accepted one from gossip. */
   heardAt: Milliseconds
-  /** The newest answer to this box itself. */
+  /** The latest answer to this box; `Infinity` where it advertised no limit. */
   own: { perSecond: number; at: Milliseconds }
 }
 
-/** Others hear again of a limit that stands: after this, and where many upstreams name one, so many a second at the most ... */
-const TELL_AGAIN_AFTER: Milliseconds = 2_000
-const TOLD_PER_SECOND = 10
-/** ... but in time for it not to lapse. */
-const LONGEST_UNTOLD: Milliseconds = 20_000
-/** News of others that are looser than what the upstream said to this box within this time may be older than that. */
-const OWN_COUNTS_FOR: Milliseconds = 1_000
-/** A limit of which nothing is heard for so long holds no more: nobody has asked, or the upstream answers nobody. */
-const LAPSES_AFTER: Milliseconds = 60_000
-/** A group of senders that has no callers gives way to the next when it could have been heard twice ... */
-const TURN_TELLINGS = 2
-/** ... and has had time for so many requests. */
+/**
+ * An unchanged limit is gossiped again after this time; later where many upstreams advertise a
+ * limit ...
+ */
+const MIN_GOSSIP_INTERVAL: Milliseconds = 2_000
+/** ... so that a box repeats at most this many a second ... */
+const MAX_GOSSIP_PER_SECOND = 10
+/** ... but well before the limit expires. */
+const MAX_GOSSIP_INTERVAL: Milliseconds = 20_000
+/**
+ * A limit in an answer to this box holds for this time against a looser one from gossip, which may
+ * be older.
+ */
+const OWN_ANSWER_PRECEDENCE: Milliseconds = 1_000
+/** A limit expires when no answer has confirmed it for this time. */
+const LIMIT_LIFETIME: Milliseconds = 60_000
+/** An idle group of senders is replaced after this many gossip intervals ... */
+const TURN_GOSSIP_INTERVALS = 2
+/** ... and at least the time of this many requests at the limit. */
 const TURN_REQUESTS = 2.5
 const SECOND: Milliseconds = 1_000
 
@@ -37,13 +44,19 @@
   return { version: 0, turn: 0, heardAt: now, own: { perSecond: Infinity, at: -Infinity } }
 }
 
-/** After how long others hear again of a limit that stands, where so many upstreams name one. */
-export function tellAgainAfter(limited: number): Milliseconds {
-  const spread = (limited * SECOND) / TOLD_PER_SECOND
-  return Math.min(LONGEST_UNTOLD, Math.max(TELL_AGAIN_AFTER, spread))
+/**
+ * Interval at which an unchanged limit is gossiped again. `limited`: number of upstreams with a
+ * limit.
+ */
+export function gossipInterval(limited: number): Milliseconds {
+  const spread = (limited * SECOND) / MAX_GOSSIP_PER_SECOND
+  return Math.min(MAX_GOSSIP_INTERVAL, Math.max(MIN_GOSSIP_INTERVAL, spread))
 }
 
-/** An answer to this box names a limit, or none. True if the other boxes are to hear of it. */
+/**
+ * Records the limit in an answer to this box, or that it has none. Returns true when it is to be
+ * gossiped.
+ */
 export function noteStatedLimit(
   state: StatedLimit,
   perSecond: number | undefined,
@@ -52,8 +65,8 @@
 ): boolean {
   const isSame = state.perSecond === perSecond
   state.own = { perSecond: perSecond ?? Infinity, at: now }
-  const isOld = perSecond !== undefined && now - state.heardAt >= tellAgainAfter(limited)
-  if (isSame && !isOld) return false
+  const isDue = perSecond !== undefined && now - state.heardAt >= gossipInterval(limited)
+  if (isSame && !isDue) return false
   const turn = limitTurn(state, limited, now)
   setLimit(state, {
     ...(perSecond !== undefined && { perSecond }),
@@ -64,12 +77,19 @@
   return true
 }
 
-/** Another box tells of a limit. True if that is news, which are told on. In whatever order news come, all boxes end at the same. */
-export function takeSharedLimit(state: StatedLimit, told: SharedLimit, now: Milliseconds): boolean {
-  const { version, perSecond = Infinity } = told
+/**
+ * Merges a limit from gossip. Returns true when it is new and is to be forwarded. The merge is
+ * order-independent, so all boxes converge.
+ */
+export function takeSharedLimit(
+  state: StatedLimit,
+  received: SharedLimit,
+  now: Milliseconds,
+): boolean {
+  const { version, perSecond = Infinity } = received
   const isTighter = version === state.version && perSecond < (state.perSecond ?? Infinity)
   if (version < state.version || (version === state.version && !isTighter)) return false
-  setLimit(state, told)
+  setLimit(state, received)
   state.heardAt = now
   return true
 }
@@ -81,22 +101,22 @@
   state.turn = turn
 }
 
-/** The limit that holds now; undefined where there is none. */
+/** The current limit in requests a second; undefined where there is none. */
 export function limitNow(state: StatedLimit, now: Milliseconds): number | undefined {
   const { perSecond = Infinity, heardAt, own } = state
-  const shared = now - heardAt < LAPSES_AFTER ? perSecond : Infinity
-  const said = now - own.at < OWN_COUNTS_FOR ? own.perSecond : Infinity
-  const least = Math.min(shared, said)
-  return least === Infinity ? undefined : least
+  const shared = now - heardAt < LIMIT_LIFETIME ? perSecond : Infinity
+  const ownLimit = now - own.at < OWN_ANSWER_PRECEDENCE ? own.perSecond : Infinity
+  const lowest = Math.min(shared, ownLimit)
+  return lowest === Infinity ? undefined : lowest
 }
 
-/** The group of boxes that sends now, where so many upstreams name a limit. */
+/** Number of the current group of senders. `limited`: number of upstreams with a limit. */
 export function limitTurn(state: StatedLimit, limited: number, now: Milliseconds): number {
   if (state.perSecond === undefined) return 0
   const forRequests = (TURN_REQUESTS * SECOND) / state.perSecond
   const span = Math.min(
-    LAPSES_AFTER,
-    Math.max(TURN_TELLINGS * tellAgainAfter(limited), forRequests),
+    LIMIT_LIFETIME,
+    Math.max(TURN_GOSSIP_INTERVALS * gossipInterval(limited), forRequests),
   )
   return state.turn + Math.max(0, Math.floor((now - state.heardAt) / span))
 }
--- a/packages/decisions/src/budgets/waitingLine.ts
+++ b/packages/decisions/src/budgets/waitingLine.ts
@@ -1,52 +1,52 @@
 /**
- * Who gets the next place where upstreams take fewer requests than are asked for: the most urgent request, and no organisation always
- * the last.
+ * Queue for scarce upstream capacity: orders requests by urgency, lowered for organisations that
+ * were served recently, so that none starves.
  */
 
-/** A request that looks for an upstream. */
+/** A request that waits for an upstream. */
 export interface Waiter {
   /** 0 is the most urgent. */
   urgency: number
   organisation: string
 }
 
-/** The requests of one service that look for an upstream now, in the order in which they came. */
+/** The requests of one service that wait for an upstream, in order of arrival. */
 export interface WaitingLine {
   waiters: Set<Waiter>
-  /** Organisations that got the newest places, one for each place. */
+  /** Organisations of the latest requests that were served, oldest first; may repeat. */
   served: string[]
 }
 
 /**
- * As many places are remembered as it takes until the least urgent request of one organisation goes before the most urgent one of another that got
- * all of them: ten steps of urgency, and a few.
+ * Length of the history: more than the ten levels of urgency, so that the least urgent request of
+ * an organisation overtakes the most urgent one of another that was served each time.
  */
-const PLACES_REMEMBERED = 14
+const SERVED_HISTORY_LENGTH = 14
 
 export function createWaitingLine(): WaitingLine {
   return { waiters: new Set(), served: [] }
 }
 
-/** How many requests get a place before this one does. */
+/** Number of requests that are served before this one. */
 export function waitersAhead({ waiters, served }: WaitingLine, waiter: Waiter): number {
   const rankOf = ({ urgency, organisation }: Waiter) =>
     urgency + served.filter(name => name === organisation).length
   const rank = rankOf(waiter)
   let ahead = 0
-  let hasPassed = false
+  let isBehind = false
   for (const other of waiters) {
     if (other === waiter) {
-      hasPassed = true
+      isBehind = true
       continue
     }
     const otherRank = rankOf(other)
-    if (otherRank < rank || (otherRank === rank && !hasPassed)) ahead++
+    if (otherRank < rank || (otherRank === rank && !isBehind)) ahead++
   }
   return ahead
 }
 
-/** The request got a place that others could have had. */
+/** Records that a request was served while others could have taken its place. */
 export function noteServed(line: WaitingLine, { organisation }: Waiter): void {
   line.served.push(organisation)
-  if (line.served.length > PLACES_REMEMBERED) line.served.shift()
+  if (line.served.length > SERVED_HISTORY_LENGTH) line.served.shift()
 }
--- a/packages/decisions/src/choice/cascadePlan.ts
+++ b/packages/decisions/src/choice/cascadePlan.ts
@@ -1,42 +1,43 @@
 /**
- * Where a request starts in its cascade and when it goes on to the next model. The plan is the least of
- * expected cost plus what a bad answer is held to cost, worked backwards from the last stage. The price of a
- * bad answer is what moves: it rises while the served quality is under the organisation's target.
+ * Plans a model cascade: the stage to start with, and which answers escalate to the next model.
+ * Minimises the expected cost plus a penalty for bad answers and delay, by backward induction from
+ * the last stage. The penalty is adjusted to meet the organisation's quality target.
  */
-import { goodShare, type BucketOutlook } from './qualityEstimates.js'
+import { goodShare, type BucketEstimate } from './qualityEstimates.js'
 
-/** What is known of one stage for a kind of request. */
+/** Estimates of one cascade stage for a kind of request. */
 export interface StageOutlook {
   model: string
-  buckets: readonly BucketOutlook[]
+  buckets: readonly BucketEstimate[]
   /** Expected cost of one answer, millionths of a currency unit. */
   cost: number
-  /** Expected time of a whole answer: what the caller waits when the stage is judged and thrown away. */
+  /** Expected time to the complete answer: the delay added when the answer is judged first. */
   wholeAnswerMilliseconds: number
 }
 
-/** What a plan weighs, all in millionths of a currency unit. */
+/** Penalties that a plan minimises with cost, in millionths of a currency unit. */
 export interface PlanPrices {
   badAnswer: number
-  /** For each millisecond by which the first token comes later. */
+  /** For each millisecond of delay of the first token. */
   millisecondOfDelay: number
 }
 
 export interface StageDecision {
-  /** Accepted confidence buckets; undefined when the answer goes out unjudged. */
+  /** Whether each confidence bucket is accepted; undefined when the answer is streamed unjudged. */
   accepts?: boolean[]
-  /** Expected cost from here on, with the bad answers and delay that come with it. */
+  /** Expected cost from this stage on, including penalties. */
   value: number
   expectedQuality: number
   expectedCost: number
 }
 
 export interface CascadePlan {
+  /** Index of the first stage. */
   start: number
   stages: StageDecision[]
 }
 
-/** Plans a cascade. Takes a few hundred steps; boxes keep the plan until estimates or prices move. */
+/** Plans a cascade. The result holds until estimates or prices change. */
 export function planCascade(stages: readonly StageOutlook[], prices: PlanPrices): CascadePlan {
   const decisions = new Array<StageDecision>(stages.length)
   for (let index = stages.length - 1; index >= 0; index--) {
@@ -62,7 +63,10 @@
   }
 }
 
-/** The first answer is held back until it is whole; buckets that promise too little go on to the next stage. */
+/**
+ * The answer is buffered until it is complete; buckets of low expected quality escalate to the next
+ * stage.
+ */
 function decideJudged(stage: StageOutlook, next: StageDecision, prices: PlanPrices): StageDecision {
   const accepts: boolean[] = []
   const delay = prices.millisecondOfDelay * stage.wholeAnswerMilliseconds
--- a/packages/decisions/src/choice/chooseVersion.ts
+++ b/packages/decisions/src/choice/chooseVersion.ts
@@ -2,18 +2,19 @@
 import { formatVersion, type Rights } from '../table/resolveRights.js'
 import type { VersionRow } from '../table/tableRow.js'
 
-/** What keeps a version from getting new sessions, beside its row. */
+/** Constraints on new sessions of a version, besides its row. */
 export interface VersionBounds {
   isHalted(version: string): boolean
-  /** Answers that the version may still give before more ratings come. */
+  /** Answers that the version may still serve before more ratings are needed. */
   roomOf(version: string): number
-  /** Whether any upstream is proved to run it. */
+  /** Whether any upstream is verified to run the version. */
   isServed(version: string): boolean
 }
 
 /**
- * The version of a model for a new session, in proportion to the rows' weights. Halted versions get none; one
- * that has to wait for ratings gives its share to the others. Undefined when no version may take new work.
+ * Picks the version of a model for a new session at random, in proportion to the rows' weights.
+ * Halted versions are excluded; versions that no upstream serves or that have no room are chosen
+ * only when there are no others. Returns undefined when no version may take new work.
  */
 export function chooseVersion(
   rights: readonly Rights[],
--- a/packages/decisions/src/choice/qualityEstimates.ts
+++ b/packages/decisions/src/choice/qualityEstimates.ts
@@ -1,45 +1,51 @@
 /**
- * What is learned from ratings: for each kind of request, model and confidence bucket, how likely an answer
- * is good. Ratings are partial and late; counts fade, so that what is believed follows what is true now.
+ * Estimates from ratings how likely an answer is good, by kind of request, model and confidence
+ * bucket. Ratings are sparse and late; counts decay exponentially, so that estimates follow
+ * changes.
  */
 import type { Milliseconds } from '../types/clock.js'
 
-/** Confidence of an engine in its answer, cut into this many buckets. */
+/** Number of buckets for an engine's confidence in its answer. */
 export const CONFIDENCE_BUCKETS = 11
 /** Upper edges of all buckets but the last, in mean probability of a token. */
 const BUCKET_EDGES = [0.3, 0.4, 0.5, 0.55, 0.6, 0.65, 0.7, 0.75, 0.8, 0.9]
 
-/** The bucket of an answer's confidence, which is the mean probability of its tokens, 0 to 1. */
+/** The bucket of a confidence: the mean token probability of an answer, 0 to 1. */
 export function bucketOf(confidence: number): number {
   const bucket = BUCKET_EDGES.findIndex(edge => confidence < edge)
   return bucket === -1 ? CONFIDENCE_BUCKETS - 1 : bucket
 }
 
-/** Counts of one kind and model. */
+/** Decaying counts for one kind of request and model. */
 export interface QualityCounts {
-  /** Good and rated answers by bucket. */
+  /** Answers rated good, by bucket. */
   good: number[]
+  /** Rated answers by bucket. */
   rated: number[]
-  /** Answers seen by bucket, rated or not: how often each bucket comes. */
+  /** All answers by bucket, rated or not. */
   seen: number[]
-  /** Ratings of answers that went out without a bucket. */
+  /** Ratings of answers that were streamed without a bucket. */
   unjudged: { good: number; rated: number }
+  /** Time of the last decay, 0 before the first. */
   fadedAt: Milliseconds
 }
 
-/** All counts of a box, by `kind/model`. */
+/** A box's counts, keyed by `estimateKey`. */
 export type QualityEstimates = Map<string, QualityCounts>
 
-const FADE_TIME: Milliseconds = 24 * 3_600_000
-/** Weight of what neighbouring buckets and the whole say about a bucket, in answers. */
+/** Time constant of the decay. */
+const DECAY_TIME_CONSTANT: Milliseconds = 24 * 3_600_000
+/** Weight of the mean over all buckets in the estimate of one bucket, in answers. */
 const PRIOR_WEIGHT = 4
+/** Assumed share of good answers before there are ratings, and its weight in answers. */
 const PRIOR_GOOD = 0.7
-const PRIOR_STRENGTH = 2
+const PRIOR_GOOD_WEIGHT = 2
 
 export function estimateKey(kind: string, model: string): string {
   return `${kind}/${model}`
 }
 
+/** Returns the counts of a kind and model; creates them on first use. */
 export function countsOf(estimates: QualityEstimates, kind: string, model: string): QualityCounts {
   const key = estimateKey(kind, model)
   const known = estimates.get(key)
@@ -60,20 +66,20 @@
   }
 }
 
-/** Notes that a model's answer fell into a bucket. */
+/** Counts an answer in its bucket. */
 export function noteAnswer(counts: QualityCounts, bucket: number, now: Milliseconds): void {
-  fade(counts, now)
+  decay(counts, now)
   counts.seen[bucket] = (counts.seen[bucket] ?? 0) + 1
 }
 
-/** Notes a rating of an answer; `bucket` is undefined when the answer went out unjudged. */
+/** Counts a rating; `bucket` is undefined when the answer was streamed unjudged. */
 export function noteRating(
   counts: QualityCounts,
   bucket: number | undefined,
   isGood: boolean,
   now: Milliseconds,
 ): void {
-  fade(counts, now)
+  decay(counts, now)
   if (bucket === undefined) {
     counts.unjudged.rated++
     if (isGood) counts.unjudged.good++
@@ -83,18 +89,19 @@
   if (isGood) counts.good[bucket] = (counts.good[bucket] ?? 0) + 1
 }
 
-/** What is believed of one confidence bucket. */
-export interface BucketOutlook {
-  /** How often the bucket comes; all shares sum to 1. */
+/** Estimates for one confidence bucket. */
+export interface BucketEstimate {
+  /** Share of the answers that fall into the bucket; all shares sum to 1. */
   share: number
-  /** Chance that an answer in it is good, drawn towards what is known of the whole. */
+  /** Probability that an answer in it is good, shrunk towards the mean over all buckets. */
   good: number
 }
 
-/** What is believed of each bucket of a kind and model. */
-export function resolveBuckets(counts: QualityCounts): BucketOutlook[] {
+/** Estimates of each bucket of a kind and model. */
+export function resolveBuckets(counts: QualityCounts): BucketEstimate[] {
   const allGood = sum(counts.good) + counts.unjudged.good
-  const whole = (allGood + PRIOR_GOOD * PRIOR_STRENGTH) / (ratedCount(counts) + PRIOR_STRENGTH)
+  const whole =
+    (allGood + PRIOR_GOOD * PRIOR_GOOD_WEIGHT) / (ratedCount(counts) + PRIOR_GOOD_WEIGHT)
   const allSeen = sum(counts.seen) + CONFIDENCE_BUCKETS
   return counts.seen.map((seen, bucket) => ({
     share: (seen + 1) / allSeen,
@@ -103,22 +110,22 @@
 }
 
 /**
- * Chance that an answer is good, whatever its bucket. Ratings come for what was served, so each bucket counts
- * as often as it is seen, not as it is rated.
+ * Probability that an answer is good, over all buckets. Buckets are weighted by answers, not by
+ * ratings, since only served answers are rated.
  */
-export function goodShare(buckets: readonly BucketOutlook[]): number {
+export function goodShare(buckets: readonly BucketEstimate[]): number {
   return buckets.reduce((total, { share, good }) => total + share * good, 0)
 }
 
-/** Number of ratings, faded. */
+/** Number of ratings, decayed. */
 export function ratedCount(counts: QualityCounts): number {
   return sum(counts.rated) + counts.unjudged.rated
 }
 
-function fade(counts: QualityCounts, now: Milliseconds): void {
+function decay(counts: QualityCounts, now: Milliseconds): void {
   const span = now - counts.fadedAt
-  if (span < FADE_TIME / 100) return
-  const kept = counts.fadedAt === 0 ? 1 : Math.exp(-span / FADE_TIME)
+  if (span < DECAY_TIME_CONSTANT / 100) return
+  const kept = counts.fadedAt === 0 ? 1 : Math.exp(-span / DECAY_TIME_CONSTANT)
   for (const list of [counts.good, counts.rated, counts.seen]) {
     for (let index = 0; index < list.length; index++) list[index] = (list[index] ?? 0) * kept
   }
--- a/packages/decisions/src/choice/solveQualityPrice.ts
+++ b/packages/decisions/src/choice/solveQualityPrice.ts
@@ -1,29 +1,35 @@
 /**
- * The price of a bad answer for one organisation: the least at which what is served is expected to meet its
- * quality target. One price holds for all its kinds of request, so that quality is bought where it costs least.
+ * Finds the price of a bad answer for one organisation: the lowest at which its cascade plans are
+ * expected to meet its quality target. One price for all its kinds of request improves quality
+ * where that is cheapest.
  */
 import type { Concern } from '../table/tableRow.js'
 import { planCascade, type StageOutlook } from './cascadePlan.js'
 
-/** Millionths of a currency unit for a millisecond of delay, by what the organisation weighs. */
+/**
+ * Price of a millisecond of delay, in millionths of a currency unit, by the organisation's concern.
+ */
 export const DELAY_PRICES: Record<Concern, number> = { cost: 0.02, latency: 2, exposure: 0.2 }
 
-/** A kind of request of an organisation, as a share of its requests. */
-export interface KindOutlook {
+/** Estimates for a kind of request of an organisation. */
+export interface KindEstimate {
+  /** Share of the organisation's requests. */
   share: number
   stages: readonly StageOutlook[]
+  /** Price in millionths of a currency unit. */
   millisecondOfDelay: number
 }
 
+/** Bounds of the search, in millionths of a currency unit. */
 const LOWEST_PRICE = 1
 const HIGHEST_PRICE = 1e8
-const HALVINGS = 26
+const BISECTION_STEPS = 26
 
-/** Finds the price by halving; the quality that a plan expects grows with the price. */
-export function solveQualityPrice(kinds: readonly KindOutlook[], target: number): number {
+/** Bisects on the logarithm of the price; the expected quality of plans rises with it. */
+export function solveQualityPrice(kinds: readonly KindEstimate[], target: number): number {
   let low = Math.log(LOWEST_PRICE)
   let high = Math.log(HIGHEST_PRICE)
-  for (let step = 0; step < HALVINGS; step++) {
+  for (let step = 0; step < BISECTION_STEPS; step++) {
     const middle = (low + high) / 2
     if (expectedQuality(kinds, Math.exp(middle)) < target) low = middle
     else high = middle
@@ -31,8 +37,8 @@
   return Math.exp(high)
 }
 
-/** Share of good answers that plans at a price are expected to give. */
-export function expectedQuality(kinds: readonly KindOutlook[], badAnswer: number): number {
+/** Expected share of good answers under the plans for a price of a bad answer. */
+export function expectedQuality(kinds: readonly KindEstimate[], badAnswer: number): number {
   let shares = 0
   let quality = 0
   for (const { share, stages, millisecondOfDelay } of kinds) {
@@ -43,30 +49,35 @@
   return shares > 0 ? quality / shares : 1
 }
 
-/** By how much plans promise more than ratings show. */
+/** Calibration error of the plans: predicted quality less rated quality. */
 export interface PromiseCheck {
+  /** Moving average of the error; positive where plans predict too much. */
   excess: number
   ratings: number
 }
 
-/** Ratings after which the excess is believed by half. */
-const HALF_TRUST_RATINGS = 150
-const LEAST_STEP = 1 / 1_500
-/** Aimed at above the target: ratings are few and late. */
-const MARGIN = 0.008
+/** Weight of the initial error of 0, in ratings. */
+const PRIOR_RATINGS = 150
+/** Smallest weight of a new rating. */
+const MIN_RATING_WEIGHT = 1 / 1_500
+/** Planned above the target, because ratings are sparse and late. */
+const TARGET_MARGIN = 0.008
 
 export function createPromiseCheck(): PromiseCheck {
   return { excess: 0, ratings: 0 }
 }
 
-/** Notes a rating of an answer for which the plan promised `promised` as its chance to be good. */
-export function notePromise(check: PromiseCheck, promised: number, good: boolean): void {
+/** Records the rating of an answer; `predicted`: the plan's probability that it is good. */
+export function notePromise(check: PromiseCheck, predicted: number, good: boolean): void {
   check.ratings++
-  const step = Math.max(LEAST_STEP, 1 / (check.ratings + HALF_TRUST_RATINGS))
-  check.excess += step * (promised - (good ? 1 : 0) - check.excess)
+  const step = Math.max(MIN_RATING_WEIGHT, 1 / (check.ratings + PRIOR_RATINGS))
+  check.excess += step * (predicted - (good ? 1 : 0) - check.excess)
 }
 
-/** The quality to plan for, so that what is served meets the target although plans promise too much. */
+/**
+ * The quality to plan for, corrected by the calibration error, so that rated quality meets the
+ * target.
+ */
 export function correctedTarget(check: PromiseCheck, target: number): number {
-  return target + MARGIN + check.excess
+  return target + TARGET_MARGIN + check.excess
 }
--- a/packages/decisions/src/claims/claim.ts
+++ b/packages/decisions/src/claims/claim.ts
@@ -1,11 +1,12 @@
 /**
- * Claims on calls that may not be repeated. A claim is a row of the store, created before the call is
- * sent. Only the attempt that created it may send the call, and only once; a paused box that wakes holds
- * its own claim and nobody else can hold it, so no fence at the upstream is needed.
+ * Claims give non-idempotent calls at-most-once execution. A claim is a store row that is created,
+ * if absent, before the call is sent. Only the attempt that created it may send the call, and only
+ * once. A claim is not passed on while its call may have run, so a box that resumes after a pause
+ * needs no fencing at the upstream.
  */
 import { refuseMayHaveRun, refuseNotRun, type Refusal } from '../types/verdict.js'
 
-/** An answer kept for a caller that asks again. */
+/** A stored answer, replayed to a caller that retries. */
 export interface KeptAnswer {
   status: number
   contentType: string
@@ -17,9 +18,9 @@
 
 /** Value of a claim row. */
 export interface Claim {
-  /** Unique to one try by one box. */
+  /** Unique id of one attempt by one box. */
   attempt: string
-  /** Of method, path and body: the same key with another call is a mistake of the caller. */
+  /** Digest of method, path and body, to detect a key that is reused for another call. */
   digest: string
   step: ClaimStep
   answer?: KeptAnswer
@@ -29,29 +30,30 @@
   return `claim/${organisation}/${idempotencyKey}`
 }
 
-/** What a box may do once it knows what stands in the claim row. */
+/** What a box does with a call, given the claim row. */
 export type ClaimDecision =
   | { decision: 'send' }
-  /** The earlier attempt is known not to have run: take its place if the row is still at this version. */
+  /** The earlier attempt did not run: replace its row by compare-and-swap at this version. */
   | { decision: 'take-over'; version: number }
+  /** The call ran: send the stored answer. */
   | { decision: 'replay'; answer: KeptAnswer; attempt: string }
   | { decision: 'refuse'; refusal: Refusal }
 
-const ASK_AGAIN_AFTER = 1_000
+const RETRY_AFTER = 1_000
 
-const DECISION_OF_STEP: Record<ClaimStep, (standing: Claim, version: number) => ClaimDecision> = {
+const DECISION_OF_STEP: Record<ClaimStep, (existing: Claim, version: number) => ClaimDecision> = {
   claimed: () => ({
     decision: 'refuse',
     refusal: refuseMayHaveRun(
       'in-progress',
       'another attempt with this idempotency key may be running; ask again for its answer',
-      ASK_AGAIN_AFTER,
+      RETRY_AFTER,
     ),
   }),
-  'not-run': (_standing, version) => ({ decision: 'take-over', version }),
-  ran: standing =>
-    standing.answer
-      ? { decision: 'replay', answer: standing.answer, attempt: standing.attempt }
+  'not-run': (_existing, version) => ({ decision: 'take-over', version }),
+  ran: existing =>
+    existing.answer
+      ? { decision: 'replay', answer: existing.answer, attempt: existing.attempt }
       : {
           decision: 'refuse',
           refusal: {
@@ -62,15 +64,15 @@
         },
 }
 
-/** Decides by the claim that stands. `attempt` and `digest` are this box's own. */
+/** Decides by the claim in the store, at `version`; `own` is this box's attempt. */
 export function decideClaim(
-  standing: Claim,
+  existing: Claim,
   version: number,
   own: Pick<Claim, 'attempt' | 'digest'>,
 ): ClaimDecision {
-  // The row is ours although the answer to our write was lost.
-  if (standing.attempt === own.attempt && standing.step === 'claimed') return { decision: 'send' }
-  if (standing.digest !== own.digest) {
+  // This box created the row, but the store's reply was lost.
+  if (existing.attempt === own.attempt && existing.step === 'claimed') return { decision: 'send' }
+  if (existing.digest !== own.digest) {
     return {
       decision: 'refuse',
       refusal: refuseNotRun(
@@ -79,22 +81,23 @@
       ),
     }
   }
-  return DECISION_OF_STEP[standing.step](standing, version)
+  return DECISION_OF_STEP[existing.step](existing, version)
 }
 
-/** What the caller of a call that may not be repeated is told when the store cannot take the claim. */
+/** The refusal of a non-idempotent call when the store is unavailable for its claim. */
 export function refuseWithoutClaim(isFirstAttempt: boolean): Refusal {
   const refusal = refuseNotRun(
     'store-out',
     'the call may not be repeated and the store that guards it does not answer; nothing was sent now',
-    ASK_AGAIN_AFTER,
+    RETRY_AFTER,
   )
   return withoutClaimKnown(refusal, isFirstAttempt)
 }
 
 /**
- * A refusal made without knowing the claim. "Not run" is about the call, not about this attempt at it: unless
- * the caller says that there was no attempt before, an earlier one may have run.
+ * Adjusts a refusal that was made without reading the claim. "Not run" is a statement about the
+ * call, not about this attempt: unless the caller states that this is its first attempt, an earlier
+ * one may have run.
  */
 export function withoutClaimKnown(refusal: Refusal, isFirstAttempt: boolean): Refusal {
   return isFirstAttempt ? refusal : { ...refusal, verdict: 'may-have-run' }
--- a/packages/decisions/src/crashes/suspicion.ts
+++ b/packages/decisions/src/crashes/suspicion.ts
@@ -1,38 +1,46 @@
-/** How often upstreams ended under a request, as far as is known. */
+/** Crashes of upstreams while they ran a request, as far as a box knows. */
 export interface Suspicion {
-  /** Rises whenever the request came to a whole answer: what was held against it before counts no more. */
+  /** Increases when a completed run clears the other counts; the higher epoch wins a merge. */
   epoch: number
-  /** Crashes in a row that count. */
+  /** Consecutive crashes that count against the request. */
   crashes: number
-  /** Crashes in a row that do not: others ended at the same moment, of which the request was not the cause. */
+  /**
+   * Consecutive crashes that do not count, because unrelated upstreams crashed at the same time.
+   */
   excused: number
+  /** The request is quarantined as the cause of the crashes. */
   isCondemned: boolean
 }
 
-/** What was held against a request when it was sent to an upstream. */
+/** A request's suspicion at the time it was sent to an upstream. */
 export type SuspicionAtSend = Omit<Suspicion, 'isCondemned'>
 
-/** So many crashes in a row condemn a request. The operators' limit. */
+/** Consecutive crashes that condemn a request; the limit that operators require. */
 export const CRASHES_TO_CONDEMN = 3
 /**
- * So many crashes of one request are excused. Without a limit it would be run for as long as other trouble goes on; an innocent one is condemned
- * only if it is at five upstreams that end, each sent after the last end was known, without one answer between.
+ * Crashes of one request that may be excused; without a limit it would be retried throughout an
+ * unrelated outage. With it, an innocent request is condemned only after five crashes in successive
+ * runs.
  */
 export const MOST_EXCUSED = 2
 
 export const UNSUSPECTED: Suspicion = { epoch: 0, crashes: 0, excused: 0, isCondemned: false }
 
-/** Of two beliefs the one that rests on more. The same whichever box merges them, in whatever order they come. */
-export function mergeSuspicion(known: Suspicion, told: Suspicion): Suspicion {
-  if (told.epoch !== known.epoch) return told.epoch > known.epoch ? told : known
-  if (told.crashes !== known.crashes) return told.crashes > known.crashes ? told : known
-  if (told.excused !== known.excused) return told.excused > known.excused ? told : known
-  return told.isCondemned && !known.isCondemned ? told : known
+/**
+ * Returns the suspicion with more evidence. The merge is commutative and idempotent, so all boxes
+ * converge.
+ */
+export function mergeSuspicion(known: Suspicion, received: Suspicion): Suspicion {
+  if (received.epoch !== known.epoch) return received.epoch > known.epoch ? received : known
+  if (received.crashes !== known.crashes) return received.crashes > known.crashes ? received : known
+  if (received.excused !== known.excused) return received.excused > known.excused ? received : known
+  return received.isCondemned && !known.isCondemned ? received : known
 }
 
 /**
- * An upstream ended under a run of the request. Runs count by what was known when they were sent: seven upstreams that end at one moment with
- * the same request aboard are one crash, three that end one after the other are three.
+ * Records that an upstream crashed while it ran the request. Counts on from the suspicion at send,
+ * so that upstreams that crash under concurrent runs count as one crash, and consecutive runs count
+ * separately.
  */
 export function noteCrashUnder(
   known: Suspicion,
@@ -45,7 +53,10 @@
   return mergeSuspicion(known, next)
 }
 
-/** The request came to a whole answer: it does not crash whoever runs it. */
+/**
+ * Records that a run of the request completed: clears its suspicion if any crash counted against
+ * it.
+ */
 export function noteWholeAnswer(known: Suspicion): Suspicion {
   return known.crashes === 0 ? known : { ...UNSUSPECTED, epoch: known.epoch + 1 }
 }
--- a/packages/decisions/src/directory/resolveAddresses.ts
+++ b/packages/decisions/src/directory/resolveAddresses.ts
@@ -1,31 +1,33 @@
 import type { Milliseconds } from '../types/clock.js'
 import { rankByRendezvous } from '../utils/rendezvousHash.js'
 
-/** A box as the directory to callers sees it. */
+/** A box, as listed in the directory for callers. */
 export interface DirectoryEntry {
   box: string
   address: string
   dataCentre: string
   state: 'starting' | 'serving' | 'leaving'
-  /** Share of the box that is in use, 0 to 1 and above. */
+  /** Utilisation of the box; above 1 when overloaded. */
   load: number
 }
 
-/** What a caller is told: where to connect, in this order, and for how long to keep the answer. */
+/** Addresses for a caller, in order of preference, and how long the caller may cache them. */
 export interface CallerAddresses {
   addresses: { address: string; dataCentre: string }[]
   lifetimeSeconds: number
 }
 
-/** A caller gets a few addresses however many boxes there are. */
 const ADDRESS_COUNT = 3
-/** Candidates of which the least loaded come first. */
+/** Boxes considered for each caller. */
 const CANDIDATE_COUNT = 6
-const LOAD_TOO_HIGH = 0.9
+/** Load from which a box is listed after the others. */
+const OVERLOAD_THRESHOLD = 0.9
 
 /**
- * The addresses for one caller. Callers of one key are spread by rendezvous, so that each box gets its share
- * without a balancer; near boxes go first, full ones last, and the last address is in another data centre.
+ * Selects the addresses for a caller. Rendezvous hashing spreads callers evenly over the boxes.
+ * Boxes of the caller's data centre are preferred, overloaded ones come last, and the last address
+ * is in another data centre if there is one. Falls back to other data centres when the caller's has
+ * no serving box.
  */
 export function resolveAddresses(
   caller: string,
@@ -38,11 +40,11 @@
   const far = serving.filter(entry => entry.dataCentre !== dataCentre)
   const nearest = near.length > 0 ? near : far
   const ranked = rankByRendezvous(caller, nearest, entry => entry.box, CANDIDATE_COUNT)
-  const fresh = ranked.filter(entry => entry.load < LOAD_TOO_HIGH)
-  const full = ranked
-    .filter(entry => entry.load >= LOAD_TOO_HIGH)
+  const available = ranked.filter(entry => entry.load < OVERLOAD_THRESHOLD)
+  const overloaded = ranked
+    .filter(entry => entry.load >= OVERLOAD_THRESHOLD)
     .sort((left, right) => left.load - right.load)
-  const chosen = [...fresh, ...full].slice(0, ADDRESS_COUNT)
+  const chosen = [...available, ...overloaded].slice(0, ADDRESS_COUNT)
   const elsewhere = rankByRendezvous(caller, far, entry => entry.box, CANDIDATE_COUNT).find(
     entry => !chosen.some(other => other.dataCentre === entry.dataCentre),
   )
--- a/packages/decisions/test/allowance.test.ts
+++ b/packages/decisions/test/allowance.test.ts
@@ -11,11 +11,11 @@
 } from '@yewkeel/decisions'
 
 describe('allowances', () => {
-  it('never spend more than the day limit over all boxes, whichever of them die', () => {
+  it('never exceed the daily limit over all boxes, whichever boxes crash', () => {
     const step = fc.record({
       box: fc.nat(4),
       cost: fc.integer({ min: 1, max: 300 }),
-      dies: fc.boolean(),
+      crashes: fc.boolean(),
     })
     fc.assert(
       fc.property(fc.array(step, { maxLength: 300 }), steps => {
@@ -23,8 +23,8 @@
         const row = { drawn: 0 }
         let spent = 0
         const boxes = Array.from({ length: 5 }, () => createAllowance('day', 0))
-        steps.forEach(({ box, cost, dies }, now) => {
-          if (dies) boxes[box] = createAllowance('day', now)
+        steps.forEach(({ box, cost, crashes }, now) => {
+          if (crashes) boxes[box] = createAllowance('day', now)
           const allowance = boxes[box]!
           if (!reserve(allowance, cost)) {
             const granted = grantOf(row, limit, wantedDraw(allowance, limit, cost, now), cost)
@@ -43,14 +43,14 @@
 })
 
 describe('rate limits', () => {
-  it('pass a shared limit by at most a quarter when demand is uneven', () => {
+  it('divide a shared limit by demand, exceeding it by at most a quarter', () => {
     const demands = [90, 5, 5, 0]
     const total = demands.reduce((sum, demand) => sum + demand, 0)
     const parts = demands.map(demand => shareOfLimit(40, demand, total, demands.length))
     expect(parts.reduce((sum, part) => sum + part, 0)).to.be.at.most(40 * 1.25)
   })
 
-  it('let through what the rate allows and no more', () => {
+  it('admit requests at the configured rate and no faster', () => {
     const bucket = { tokens: 0, at: 0 }
     let taken = 0
     for (let now = 0; now < 10_000; now += 10) if (takeToken(bucket, 5, now)) taken++
--- a/packages/decisions/test/routing.test.ts
+++ b/packages/decisions/test/routing.test.ts
@@ -18,7 +18,7 @@
   takeRetry,
   targetShare,
   vouchedAt,
-  type LadderStep,
+  type CascadeStep,
   type Confirmation,
   type Configuration,
   type RolloutOrder,
@@ -51,50 +51,51 @@
   limits: { bodyBytes: 1, headerTimeout: 1, idleTimeout: 1 },
 }
 
-describe('routes', () => {
+describe('route index', () => {
   const index = createRouteIndex(CONFIGURATION)
 
-  it('takes the longest prefix of the path, whatever the query says', () => {
+  it('matches the longest prefix of the path and ignores the query', () => {
     expect(index.match('desk.example', '/a/b/c?x=/c/')?.name).to.equal('/a/b/')
     expect(index.match('DESK.example:80', '/a/x')?.name).to.equal('/a/')
   })
 
-  it('has no route for a path that only begins like a prefix', () => {
+  it('matches prefixes at segment boundaries only, and no other host', () => {
     expect(index.match('desk.example', '/ab/')).to.equal(undefined)
     expect(index.match('desk.example', '/')).to.equal(undefined)
     expect(index.match('other.example', '/a/')).to.equal(undefined)
   })
 
-  it('knows the organisation of each of its keys and of no other', () => {
+  it('resolves each key to its organisation, and unknown keys to none', () => {
     expect(index.organisationOf('k2')?.name).to.equal('morne')
     expect(index.organisationOf('k3')).to.equal(undefined)
   })
 })
 
-describe('proofs of freshness', () => {
-  it('never become older, whichever comes last', () => {
+describe('freshness confirmations', () => {
+  it('keep the latest time when an earlier one arrives afterwards', () => {
     const proof: Confirmation = {}
     confirm(proof, 100)
     confirm(proof, 60)
     expect(confirmationAge(proof, 150)).to.equal(50)
   })
 
-  it('that a peer vouches for are never younger than the read, however late the messages are', () => {
+  it('relayed by a peer are never dated after its read, whatever the message delays and clock offset', () => {
     fc.assert(
       fc.property(
         fc.record({
-          way: fc.nat(5_000),
-          read: fc.nat(5_000),
+          delay: fc.nat(5_000),
+          readAge: fc.nat(5_000),
           wait: fc.nat(5_000),
         }),
         fc.integer({ min: -100_000, max: 100_000 }),
-        ({ way, read, wait }, offset) => {
-          // On the receiver's clock: stamped at 0, heard after `way`; the peer's clock differs by `offset`.
-          const peerHeard = way + offset
-          const peerRead = peerHeard - read
-          const peerSends = peerHeard + wait
-          const bound = vouchedAt({ echo: 0, heldFor: wait, age: peerSends - peerRead })
-          const readOnOwnClock = peerRead - offset
+        ({ delay, readAge, wait }, offset) => {
+          // The box sends at 0 on its own clock; the peer receives it after `delay`, on a clock that
+          // is `offset` ahead.
+          const peerReceivedAt = delay + offset
+          const peerReadAt = peerReceivedAt - readAge
+          const peerSentAt = peerReceivedAt + wait
+          const bound = vouchedAt({ echo: 0, heldFor: wait, age: peerSentAt - peerReadAt })
+          const readOnOwnClock = peerReadAt - offset
           expect(bound).to.be.at.most(readOnOwnClock)
         },
       ),
@@ -102,8 +103,8 @@
   })
 })
 
-describe('the retry budget of all boxes', () => {
-  it('is kept by the sum of their shares, however requests are spread', () => {
+describe('the retry budget that all boxes share', () => {
+  it('is kept by the sum of their parts, however requests are distributed', () => {
     const limits = { ratio: 0.9, slack: 58, window: 10_000 }
     fc.assert(
       fc.property(fc.array(fc.nat(300), { minLength: 1, maxLength: 12 }), requestsByBox => {
@@ -119,7 +120,7 @@
     )
   })
 
-  it('forgets what left the window', () => {
+  it('drops requests and retries that are older than the window', () => {
     const share = createRetryShare({
       limits: { ratio: 0.5, slack: 0, window: 10_000 },
       slackFrom: 0,
@@ -133,7 +134,7 @@
 })
 
 describe('the retry budget of a service', () => {
-  it('counts retries for the whole window, also those at the end of its oldest part', () => {
+  it('counts a retry for the whole window, also one late in its time slot', () => {
     const share = createRetryShare({
       limits: { ratio: 0, slack: 100, window: 10_000 },
       slackFrom: 0,
@@ -143,7 +144,7 @@
     expect(takeRetry(share, 1, 11_000)).to.equal(true)
   })
 
-  it('is not earned by requests for another service', () => {
+  it('is not earned by requests to another service', () => {
     const shares = createRetryShares({
       limits: { ratio: 0.9, slack: 0, window: 10_000 },
       slackFrom: 0,
@@ -155,7 +156,7 @@
     expect(retries).to.be.within(8, 9)
   })
 
-  it('follows limits that are changed while it runs', () => {
+  it('applies changed limits to existing budgets', () => {
     const shares = createRetryShares({
       limits: { ratio: 0, slack: 0, window: 10_000 },
       slackFrom: 0,
@@ -166,9 +167,9 @@
   })
 })
 
-describe('models in order of cost', () => {
+describe('the model cascade', () => {
   const models = ['small', 'middle', 'large']
-  const step = (change: Partial<LadderStep> = {}): LadderStep => ({
+  const step = (change: Partial<CascadeStep> = {}): CascadeStep => ({
     models,
     model: 'small',
     confidence: 20,
@@ -179,23 +180,23 @@
     ...change,
   })
 
-  it('go on to the largest when the answer is doubtful, and stay otherwise', () => {
+  it('escalates a doubtful answer to the largest model, and keeps one that is confident or has no confidence', () => {
     expect(nextModel(step())).to.equal('large')
     expect(nextModel(step({ confidence: 60 }))).to.equal(undefined)
     expect(nextModel(step({ confidence: undefined }))).to.equal(undefined)
   })
 
-  it('end with the largest', () => {
+  it('keeps the answer of the largest model', () => {
     expect(nextModel(step({ model: 'large', confidence: 1 }))).to.equal(undefined)
   })
 
-  it('stop at a middle model where that can be expected to do', () => {
+  it('escalates to a middle model when its expected confidence suffices', () => {
     expect(nextModel(step({ confidence: 52 }))).to.equal('middle')
     expect(nextModel(step({ model: 'middle', confidence: 45 }))).to.equal(undefined)
     expect(nextModel(step({ model: 'middle', confidence: 20 }))).to.equal('large')
   })
 
-  it('learn what a middle model can be expected to do', () => {
+  it('learns the expected confidence of a middle model', () => {
     const gains = createConfidenceGains()
     for (let count = 0; count < 100; count++)
       noteConfidences(
@@ -207,7 +208,7 @@
     expect(nextModel(step({ confidence: 59, gains }))).to.equal('middle')
   })
 
-  it('do not ask a model whose answer would be late', () => {
+  it('skips models whose answer would be late', () => {
     const beginsWithin = (model: string) => (model === 'large' ? 2_000 : 300)
     expect(nextModel(step({ beginsWithin }))).to.equal(undefined)
     expect(nextModel(step({ beginsWithin, confidence: 40 }))).to.equal('middle')
@@ -215,7 +216,7 @@
   })
 })
 
-describe('a roll-out', () => {
+describe('a rollout', () => {
   const order: RolloutOrder = { service: 'pool', target: 'v2', duration: 20_000, revision: 10 }
   const active: RolloutStatus = {
     service: 'pool',
@@ -234,13 +235,13 @@
     limit: LIMIT,
   }
 
-  it('gives a new version nothing before it is active, little in the first half, and all before the end', () => {
+  it('sends a new version no traffic before it is active, little in the first half, and all before the end', () => {
     expect(targetShare(order, undefined, 1_000, LIMIT)).to.equal(0)
     expect(targetShare(order, active, 10_900, LIMIT)).to.be.within(0.01, 0.15)
     expect(targetShare(order, active, 20_000, LIMIT)).to.equal(1)
   })
 
-  it('gives a version in all of its time no more than a bad one may get, if nothing is ever seen of its faults', () => {
+  it('keeps the mean share of a version within the limit for a bad one, for any duration', () => {
     for (const duration of [16_000, 24_000, 600_000])
       for (const limit of [0.0975, 0.15, 0.3]) {
         const long = { ...order, duration }
@@ -253,12 +254,12 @@
       }
   })
 
-  it('gives nothing to a version whose status answers an earlier order', () => {
+  it('sends no traffic to a version whose status belongs to an earlier order', () => {
     const earlier = { ...active, state: 'completed' as const, revision: 9 }
     expect(targetShare(order, earlier, 15_000, LIMIT)).to.equal(0)
   })
 
-  it('never shrinks the share while it goes on', () => {
+  it('never reduces the share while it is active', () => {
     let last = 0
     for (let now = 1_000; now < 21_000; now += 100) {
       const share = targetShare(order, active, now, LIMIT)
@@ -274,17 +275,17 @@
     expect(goesToTarget(shares, { session: 's1' }, () => 0)).to.equal(false)
   })
 
-  it('deals a session alike on every box, and never back while the share grows', () => {
-    const on = (session: string, share: number) =>
+  it('assigns a session alike on every box, and never moves it back while the share grows', () => {
+    const isOnTarget = (session: string, share: number) =>
       goesToTarget({ target: 'v2', share, keepsSessions: false }, { session }, Math.random)
     for (let name = 0; name < 200; name++) {
       const session = `session-${name}`
-      expect(on(session, 0.4)).to.equal(on(session, 0.4))
-      if (on(session, 0.4)) expect(on(session, 0.7)).to.equal(true)
+      expect(isOnTarget(session, 0.4)).to.equal(isOnTarget(session, 0.4))
+      if (isOnTarget(session, 0.4)) expect(isOnTarget(session, 0.7)).to.equal(true)
     }
   })
 
-  it('begins once an upstream serves the target, and is completed shortly before the end of its time', () => {
+  it('starts once an upstream serves the target, and completes shortly before the end of its duration', () => {
     const first = { order, storeNow: 0, isTargetBad: false, isTargetDoubted: false, limit: LIMIT }
     expect(decideRollout({ ...first, targetUpstreams: 0 })).to.equal(undefined)
     expect(decideRollout({ ...first, targetUpstreams: 1 })).to.equal('active')
@@ -292,7 +293,7 @@
     expect(decideRollout({ ...view, storeNow: 20_300 })).to.equal('completed')
   })
 
-  it('gives a version that came through its trial badly no more than before, and is rolled back at the end', () => {
+  it('does not raise the share of a doubted version, and rolls it back at the end', () => {
     const trial = targetShare(order, active, 18_000, LIMIT)
     expect(targetShare(order, active, 20_000, LIMIT, true)).to.equal(trial)
     const doubted = { ...view, isTargetDoubted: true }
@@ -300,7 +301,7 @@
     expect(decideRollout({ ...doubted, storeNow: 20_300 })).to.equal('rolled-back')
   })
 
-  it('is rolled back at any time when the version is bad, and never leaves an end state', () => {
+  it('rolls back a bad version at any time, and never leaves a final state', () => {
     expect(decideRollout({ ...view, storeNow: 2_000, isTargetBad: true })).to.equal('rolled-back')
     expect(decideRollout({ ...view, storeNow: 20_900, isTargetBad: true })).to.equal('rolled-back')
     const ended = { ...active, state: 'completed' as const }
@@ -310,15 +311,15 @@
   })
 })
 
-describe('neighbours on the ring', () => {
+describe('ring neighbours', () => {
   const boxes = (count: number) =>
     Array.from({ length: count }, (_, number) => `box-${String(number).padStart(3, '0')}`)
 
-  it('are all others in a small group', () => {
+  it('are all other boxes in a small group', () => {
     expect(ringNeighbours('box-000', boxes(9), name => name)).to.have.length(8)
   })
 
-  it('know each other, are few, and reach every box in a few hops at 83 and 640 boxes', () => {
+  it('are few and mutual, and reach all of 83 or 640 boxes in a few hops', () => {
     for (const [size, most, hops] of [
       [83, 8, 5],
       [640, 12, 7],
--- a/packages/decisions/test/statedLimit.test.ts
+++ b/packages/decisions/test/statedLimit.test.ts
@@ -9,16 +9,16 @@
   noteStatedLimit,
   sendersOf,
   takeSharedLimit,
-  tellAgainAfter,
+  gossipInterval,
   type Milliseconds,
   type SharedLimit,
 } from '../src/index.js'
 
-/** Of the platform's rule: what may arrive in a window beyond the limit. */
 const WINDOW: Milliseconds = 4_000
+/** The most requests that the platform accepts in a window under a limit. */
 const allowedIn = (perSecond: number) => 1.5 * perSecond * 4 + 5
 
-/** What all senders together send in the fullest window if each sends whenever it may. */
+/** Requests of all senders in the first window if each sends as soon as it may. */
 function mostSent(perSecond: number, boxes: number): number {
   const share = limitShareOf(perSecond, boxes)
   const sent: Milliseconds[] = []
@@ -26,8 +26,8 @@
   return sent.length * share.senders
 }
 
-describe('a limit that an upstream names', () => {
-  it('is kept by all senders together, however many boxes there are', () => {
+describe('a rate limit that an upstream advertises', () => {
+  it('is kept by all senders together, for any number of boxes', () => {
     for (const perSecond of [0, 0.3, 1, 2, 2.3, 8, 50, 200])
       for (const boxes of [1, 2, 9, 91, 195, 640])
         expect(mostSent(perSecond, boxes), `${perSecond} ${boxes}`).to.be.at.most(
@@ -35,21 +35,21 @@
         )
   })
 
-  it('counts from requests that were sent before it fell', () => {
+  it('applies to the next request after one that was sent under a higher limit', () => {
     const before = limitShareOf(8, 9)
     const after = limitShareOf(2, 9)
     expect(after.senders).to.be.at.most(before.senders)
     expect(nextSendAt(after, [1_000, 1_500])).to.equal(1_500 + after.interval)
   })
 
-  it('is taken in the same way in whatever order boxes hear of it', () => {
-    const told = fastCheck.record<SharedLimit>({
+  it('converges to the same state in whatever order gossip arrives', () => {
+    const sharedLimit = fastCheck.record<SharedLimit>({
       perSecond: fastCheck.constantFrom(0.3, 2, 8),
       version: fastCheck.integer({ min: 1, max: 4 }),
       turn: fastCheck.constant(0),
     })
     fastCheck.assert(
-      fastCheck.property(fastCheck.array(told, { maxLength: 8 }), entries => {
+      fastCheck.property(fastCheck.array(sharedLimit, { maxLength: 8 }), entries => {
         const limitsOf = (order: SharedLimit[]) => {
           const state = createStatedLimit(0)
           for (const entry of order) takeSharedLimit(state, entry, 0)
@@ -60,7 +60,7 @@
     )
   })
 
-  it('holds against looser news that are older than what this box has just heard', () => {
+  it('takes precedence over a looser limit from gossip for one second after an own answer', () => {
     const state = createStatedLimit(0)
     noteStatedLimit(state, 2, 1, 1_000)
     takeSharedLimit(state, { perSecond: 8, version: 7, turn: 0 }, 1_200)
@@ -68,7 +68,7 @@
     expect(limitNow(state, 2_100)).to.equal(8)
   })
 
-  it('ends with an answer that names none, and with long silence', () => {
+  it('ends with an answer that advertises none, and expires after a minute without answers', () => {
     const state = createStatedLimit(0)
     expect(noteStatedLimit(state, 2, 1, 1_000)).to.equal(true)
     expect(noteStatedLimit(state, 2, 1, 1_500)).to.equal(false)
@@ -80,14 +80,14 @@
     expect(limitNow(state, 70_100)).to.equal(undefined)
   })
 
-  it('is told again less often where many upstreams name one, and before it lapses', () => {
+  it('is gossiped less often where many upstreams advertise one, but before it expires', () => {
     for (const [limited, span] of [
       [1, 2_000],
       [20, 2_000],
       [100, 10_000],
       [2_400, 20_000],
     ] as const)
-      expect(tellAgainAfter(limited)).to.equal(span)
+      expect(gossipInterval(limited)).to.equal(span)
     const state = createStatedLimit(0)
     noteStatedLimit(state, 2, 100, 1_000)
     expect(noteStatedLimit(state, 2, 100, 10_900)).to.equal(false)
@@ -96,7 +96,7 @@
     expect(limitTurn(state, 100, 31_000)).to.equal(1)
   })
 
-  it('gives its share to other boxes where those that have it are silent', () => {
+  it('passes to another group of senders when the current one is idle', () => {
     const boxes = Array.from({ length: 9 }, (_, at) => ({ box: `box-${at}`, dataCentre: 'ebene' }))
     const state = createStatedLimit(0)
     noteStatedLimit(state, 1, 1, 0)
@@ -109,7 +109,7 @@
     const second = sendersAt(4_100)
     const third = sendersAt(8_100)
     expect(new Set([...first, ...second, ...third]).size).to.equal(9)
-    // Whoever was heard goes on to send.
+    // A group that reports an answer stays the group of senders.
     noteStatedLimit(state, 1, 1, 8_200)
     expect(sendersAt(8_300)).to.deep.equal(third)
   })
--- a/packages/decisions/test/waitingLine.test.ts
+++ b/packages/decisions/test/waitingLine.test.ts
@@ -3,24 +3,24 @@
 
 const waiter = (urgency: number, organisation: string): Waiter => ({ urgency, organisation })
 
-describe('requests that wait for one of few places', () => {
-  it('go by their urgency, and among equals by when they came', () => {
+describe('the queue for scarce capacity', () => {
+  it('serves requests by urgency, then in order of arrival', () => {
     const line = createWaitingLine()
-    const [late, urgent, first] = [waiter(3, 'a'), waiter(0, 'b'), waiter(3, 'c')]
-    for (const one of [first, urgent, late]) line.waiters.add(one)
-    expect([urgent, first, late].map(one => waitersAhead(line, one))).to.deep.equal([0, 1, 2])
+    const [last, urgent, first] = [waiter(3, 'a'), waiter(0, 'b'), waiter(3, 'c')]
+    for (const one of [first, urgent, last]) line.waiters.add(one)
+    expect([urgent, first, last].map(one => waitersAhead(line, one))).to.deep.equal([0, 1, 2])
   })
 
-  it('give each organisation a place now and then, however urgent the others are', () => {
+  it('starves no organisation, however urgent the requests of others are', () => {
     const line = createWaitingLine()
-    const got = new Map<string, number>()
-    const asking = [waiter(0, 'large'), waiter(9, 'small')]
-    for (const one of asking) line.waiters.add(one)
-    for (let place = 0; place < 200; place++) {
-      const next = asking.find(one => waitersAhead(line, one) === 0)!
+    const servedCounts = new Map<string, number>()
+    const waiting = [waiter(0, 'large'), waiter(9, 'small')]
+    for (const one of waiting) line.waiters.add(one)
+    for (let round = 0; round < 200; round++) {
+      const next = waiting.find(one => waitersAhead(line, one) === 0)!
       noteServed(line, next)
-      got.set(next.organisation, (got.get(next.organisation) ?? 0) + 1)
+      servedCounts.set(next.organisation, (servedCounts.get(next.organisation) ?? 0) + 1)
     }
-    expect(got.get('small')).to.be.within(20, 60)
+    expect(servedCounts.get('small')).to.be.within(20, 60)
   })
 })
