--- a/packages/decisions/src/listing/exchangeHealth.ts
+++ b/packages/decisions/src/listing/exchangeHealth.ts
@@ -1,48 +1,49 @@
 import type { Milliseconds } from '../types/clock.js'
 
 /**
- * How one exchange with an upstream went. `shed`: it said that it did not run the request. `failed`: it ran it
- * and answered with an error or with wrong bytes. `lost`: no answer, or a reset. `unreachable`: no connection opened,
- * though other upstreams were heard meanwhile. `gone`: another process answers at its address.
+ * Outcome of one exchange with an upstream. `shed`: it rejected the request without running it.
+ * `failed`: it ran the request and answered with an error or malformed data. `lost`: no answer, or
+ * a connection reset. `unreachable`: no connection opened while other upstreams did respond.
+ * `gone`: another process answers at its address.
  */
 export type ExchangeOutcome = 'good' | 'shed' | 'failed' | 'lost' | 'unreachable' | 'gone'
 
-/** What this box has seen of one upstream. */
+/** Passive health state of one upstream, from this box's own exchanges. */
 export interface ExchangeHealth {
-  /** Moving share of exchanges that were `failed` or `lost`, 0 to 1. */
+  /** Moving average of the share of bad outcomes, 0 to 1. */
   badShare: number
-  /** Exchanges counted, up to where the share is settled. */
+  /** Exchanges counted since the upstream was listed. */
   samples: number
-  lostInARow: number
+  consecutiveLosses: number
+  /** Ejections since the upstream last recovered; sets the length of the next one. */
   ejections: number
   ejectedUntil: Milliseconds
+  /** When the upstream last responded. */
   lastHeardAt: Milliseconds
-  /** Ejected until it answers again, however long that takes. */
+  /** Ejected with no time limit, until a connection opens again. */
   isUnreachable: boolean
-  /**
-   * Another process answers at its address. This run never returns, so it is asked no more even where there is no other: of 20 requests while ten upstreams were such, 77 arrived in place of 10 (played on loopback).
-   */
+  /** Another process answers at its address: this run of the upstream has ended for good. */
   isGone: boolean
 }
 
-/** Weight of the newest exchange in the moving share: about the last ten count. */
-const SHARE_WEIGHT = 0.12
-/** Exchanges before a share is believed. */
-const LEAST_SAMPLES = 5
-/** An upstream is ejected when its share is this far above that of the others of its service ... */
-const SHARE_FACTOR = 2.5
-/** ... and above this. */
-const SHARE_FLOOR = 0.22
-const LOST_IN_A_ROW = 3
-/** The first ejection; each further one is twice as long. */
-const FIRST_EJECTION: Milliseconds = 1_000
-const LONGEST_EJECTION: Milliseconds = 6_000
+/** Weight of the newest exchange in `badShare`; averages over roughly ten exchanges. */
+const EWMA_WEIGHT = 0.12
+/** Exchanges before `badShare` can eject an upstream. */
+const MIN_SAMPLES = 5
+/** Ejects an upstream whose bad share exceeds this multiple of its service's average ... */
+const OUTLIER_FACTOR = 2.5
+/** ... and this absolute share. */
+const MIN_OUTLIER_SHARE = 0.22
+const MAX_CONSECUTIVE_LOSSES = 3
+/** Length of the first ejection; each further one doubles it. */
+const BASE_EJECTION: Milliseconds = 1_000
+const MAX_EJECTION: Milliseconds = 6_000
 
 export function createExchangeHealth(now: Milliseconds): ExchangeHealth {
   return {
     badShare: 0,
     samples: 0,
-    lostInARow: 0,
+    consecutiveLosses: 0,
     ejections: 0,
     ejectedUntil: 0,
     lastHeardAt: now,
@@ -61,8 +62,9 @@
 }
 
 /**
- * Takes the outcome of one exchange. `othersBadShare` is the mean share of the other upstreams of the
- * service: faults that strike all alike are no reason to send one of them less. True when it is ejected now.
+ * Records the outcome of one exchange. `othersBadShare` is the mean `badShare` of the service's
+ * other upstreams; faults common to all of them eject none. Returns whether this outcome ejects the
+ * upstream.
  */
 export function noteExchange(
   health: ExchangeHealth,
@@ -70,45 +72,45 @@
   othersBadShare: number,
   now: Milliseconds,
 ): boolean {
-  health.badShare += SHARE_WEIGHT * (IS_BAD[outcome] - health.badShare)
+  health.badShare += EWMA_WEIGHT * (IS_BAD[outcome] - health.badShare)
   health.samples++
   if (outcome === 'unreachable') {
-    const isNews = !health.isUnreachable
+    const isNew = !health.isUnreachable
     health.isUnreachable = true
-    return isNews
+    return isNew
   }
   if (outcome === 'gone') return noteGone(health)
-  health.lostInARow = outcome === 'lost' ? health.lostInARow + 1 : 0
+  health.consecutiveLosses = outcome === 'lost' ? health.consecutiveLosses + 1 : 0
   if (outcome !== 'lost') health.lastHeardAt = now
-  if (outcome === 'good' && health.badShare < SHARE_WEIGHT) health.ejections = 0
+  if (outcome === 'good' && health.badShare < EWMA_WEIGHT) health.ejections = 0
   if (now < health.ejectedUntil || !isOutlier(health, othersBadShare)) return false
   eject(health, now)
   return true
 }
 
 function isOutlier(health: ExchangeHealth, othersBadShare: number): boolean {
-  if (health.lostInARow >= LOST_IN_A_ROW) return true
-  const limit = Math.max(SHARE_FLOOR, SHARE_FACTOR * othersBadShare)
-  return health.samples >= LEAST_SAMPLES && health.badShare > limit
+  if (health.consecutiveLosses >= MAX_CONSECUTIVE_LOSSES) return true
+  const limit = Math.max(MIN_OUTLIER_SHARE, OUTLIER_FACTOR * othersBadShare)
+  return health.samples >= MIN_SAMPLES && health.badShare > limit
 }
 
 function eject(health: ExchangeHealth, now: Milliseconds): void {
-  const span = Math.min(LONGEST_EJECTION, FIRST_EJECTION * 2 ** health.ejections)
+  const duration = Math.min(MAX_EJECTION, BASE_EJECTION * 2 ** health.ejections)
   health.ejections++
-  health.ejectedUntil = now + span
-  health.lostInARow = 0
-  // It comes back on trial: two more bad answers eject it again.
-  health.badShare = SHARE_FLOOR * 0.75
+  health.ejectedUntil = now + duration
+  health.consecutiveLosses = 0
+  // Starts just below the limit, so two more bad outcomes eject the upstream again.
+  health.badShare = MIN_OUTLIER_SHARE * 0.75
 }
 
-/** Another process has its address. True if that is news. */
+/** Records that another process has the upstream's address. Returns whether this was unknown. */
 export function noteGone(health: ExchangeHealth): boolean {
-  const isNews = !health.isGone
+  const isNew = !health.isGone
   health.isGone = true
-  return isNews
+  return isNew
 }
 
-/** It answers the opening of connections again. */
+/** Records that the upstream accepts connections again. */
 export function noteReachable(health: ExchangeHealth): void {
   health.isUnreachable = false
 }
--- a/packages/decisions/src/listing/pickUpstream.ts
+++ b/packages/decisions/src/listing/pickUpstream.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '../types/clock.js'
 import type { Random } from '../types/random.js'
-import { textHomes } from './textHomes.js'
+import { prefixHomes } from './textHomes.js'
 import type { PromptWork, UpstreamCandidate } from './upstreamCandidate.js'
 
 export interface PickOptions {
@@ -8,52 +8,46 @@
   random: Random
   prompt?: PromptWork
   /**
-   * Whether all boxes tell each other at once what they have sent. Where they do not, `waiting` is known of upstreams of
-   * this data centre only, and some 100 ms late. True where it is left out.
+   * Whether every box sends its pending work to every other box directly. Otherwise `waiting`
+   * covers this data centre's upstreams only, and lags by about 100 ms. Defaults to true.
    */
   knowsFarWork?: boolean
-  /** Of the request's body, which crosses to an upstream of another data centre. */
+  /** Size of the request body, transferred when the upstream is in another data centre. */
   bodyBytes?: number
 }
 
-/** Share of its slots that a nearer upstream may be busier by: what a hop between data centres costs. */
-const NEAR_BONUS = 0.12
-/** What one more stream beside adds to the time until an answer begins. */
+/** Extra utilisation, 0 to 1, at which a local upstream is still preferred to a remote one. */
+const LOCAL_LOAD_BONUS = 0.12
+/** Delay of the first token per stream already running on the engine. */
 const STREAM_COST: Milliseconds = 1.5
-/** A stream beside is held up while a prompt is read: the part of that time that counts as a cost. */
-const HELD_UP_PART = 0.1
-/** A hop between data centres and back. */
-const FAR_COST: Milliseconds = 4
-/**
- * What is to be expected in the queue of an upstream whose work is not known: where 63 engines serve 245 prompts a second,
- * they read for a quarter of the time, some 150 ms at a stretch.
- */
-const UNKNOWN_COST: Milliseconds = 40
-/**
- * What it costs that a kilobyte of a request crosses to another data centre. By the operators' prices a body of 17 KB is 5 %
- * of a long prompt's worth, as much as a quarter of a second of waiting, which makes no answer late while its objective
- * is some seconds and engines are not full; when they are, the queue before a near engine soon outweighs it.
- */
-const CROSSING_COST: Milliseconds = 15
+/** Running streams stall during a prefill: the share of the prefill time charged for each. */
+const PREFILL_STALL_SHARE = 0.1
+/** Round trip to another data centre. */
+const REMOTE_COST: Milliseconds = 4
+/** Expected prefill queue of a remote upstream whose pending work is unknown, network included. */
+const UNKNOWN_QUEUE_COST: Milliseconds = 40
+/** Price of transferring a kilobyte of body between data centres, in equivalent waiting time. */
+const TRANSFER_COST_PER_KILOBYTE: Milliseconds = 15
 const BYTES_PER_KILOBYTE = 1_000
 /**
- * Boxes that hear late of each other's prompts would all choose the engine that was free a moment ago. Beside the homes
- * of a prompt's text each draws this many engines by chance, and takes the best of these. Where texts had homes in one
- * data centre alone, 82 % began in time at 0.7 of the load that can be read in place of 17 %; with homes in all of
- * them 99.8 % in place of 99.5 % (played load).
+ * Engines sampled at random, besides the homes of the prefix, when load information is stale.
+ * Comparing all engines would send every box to the same apparently idle one (herding).
  */
-const NEAR_DRAWN = 4
-const FAR_DRAWN = 2
+const LOCAL_SAMPLE_SIZE = 4
+const REMOTE_SAMPLE_SIZE = 2
 /**
- * What it is worth, beside the time to read them, to find 1,000 shared tokens where they are kept: reading them again is
- * priced, and memory that holds one text twice holds another not at all. By its operators' prices some 5 % of
- * a long prompt's worth, which a tenth of a second of waiting costs at the most.
+ * Value of a cache hit per 1,000 shared tokens, in equivalent waiting time, beyond the prefill time
+ * saved: recomputing them is billed, and a duplicate prefix takes cache memory from others.
  */
-const KEPT_WORTH: Milliseconds = 20
-/** Costs this close are equal: chance decides, so that boxes do not all choose the same. */
-const TIE: Milliseconds = 4
+const CACHE_HIT_VALUE: Milliseconds = 20
+/** Random cost added to each candidate, so that boxes spread over near-equal upstreams. */
+const TIE_BREAK_JITTER: Milliseconds = 4
 
-/** Picks an upstream: by the time until a prompt is read, or by the lesser load of some drawn at random. */
+/**
+ * Picks an upstream: for a prompt by its estimated prefill completion and transfer costs, otherwise
+ * the least loaded of a random sample. Ejected upstreams are used only when all are. Undefined
+ * without candidates.
+ */
 export function pickUpstream<T extends UpstreamCandidate>(
   candidates: readonly T[],
   options: PickOptions,
@@ -62,33 +56,34 @@
   const usable = healthy.length > 0 ? healthy : candidates
   if (usable.length <= 1) return usable[0]
   const { prompt } = options
-  return prompt ? pickSoonest(usable, prompt, options) : pickLessLoaded(usable, options)
+  return prompt ? pickLowestCost(usable, prompt, options) : pickLeastLoaded(usable, options)
 }
 
-function pickSoonest<T extends UpstreamCandidate>(
+function pickLowestCost<T extends UpstreamCandidate>(
   candidates: readonly T[],
   prompt: PromptWork,
   { dataCentre, random, knowsFarWork = true, bodyBytes = 0 }: PickOptions,
 ): T {
   const { whole, shared, sharedTokens } = prompt
-  const homes = textHomes(prompt, candidates, dataCentre)
-  const keptWorth = (KEPT_WORTH * sharedTokens) / 1_000
-  const farCost =
-    (knowsFarWork ? FAR_COST : UNKNOWN_COST) + (CROSSING_COST * bodyBytes) / BYTES_PER_KILOBYTE
+  const homes = prefixHomes(prompt, candidates, dataCentre)
+  const cacheHitValue = (CACHE_HIT_VALUE * sharedTokens) / 1_000
+  const remoteCost =
+    (knowsFarWork ? REMOTE_COST : UNKNOWN_QUEUE_COST) +
+    (TRANSFER_COST_PER_KILOBYTE * bodyBytes) / BYTES_PER_KILOBYTE
   let best = candidates[0]!
   let least = Infinity
-  const compared = knowsFarWork
+  const considered = knowsFarWork
     ? candidates
-    : drawSome(candidates, homes.keys(), dataCentre, random)
-  for (const candidate of compared) {
-    const kept = homes.get(candidate) ?? 0
+    : sampleCandidates(candidates, homes.keys(), dataCentre, random)
+  for (const candidate of considered) {
+    const cachedShare = homes.get(candidate) ?? 0
     const cost =
       candidate.waiting +
-      (STREAM_COST + HELD_UP_PART * whole) * candidate.load +
-      candidate.slowness * (whole - kept * shared) -
-      kept * keptWorth +
-      (candidate.listed.dataCentre === dataCentre ? 0 : farCost) +
-      TIE * random()
+      (STREAM_COST + PREFILL_STALL_SHARE * whole) * candidate.load +
+      candidate.slowness * (whole - cachedShare * shared) -
+      cachedShare * cacheHitValue +
+      (candidate.listed.dataCentre === dataCentre ? 0 : remoteCost) +
+      TIE_BREAK_JITTER * random()
     if (cost >= least) continue
     best = candidate
     least = cost
@@ -96,36 +91,36 @@
   return best
 }
 
-/** The homes of a text and a few others drawn by chance. */
-function drawSome<T extends UpstreamCandidate>(
+/** The homes of a prefix plus a random sample of local and remote candidates. */
+function sampleCandidates<T extends UpstreamCandidate>(
   candidates: readonly T[],
   homes: Iterable<T>,
   dataCentre: string,
   random: Random,
 ): Set<T> {
-  const drawn = new Set(homes)
-  const near: T[] = []
-  const far: T[] = []
+  const sampled = new Set(homes)
+  const local: T[] = []
+  const remote: T[] = []
   for (const candidate of candidates)
-    (candidate.listed.dataCentre === dataCentre ? near : far).push(candidate)
-  const drawFrom = (group: readonly T[], count: number) => {
-    for (let at = 0; at < count && group.length > 0; at++)
-      drawn.add(group[Math.floor(random() * group.length)]!)
+    (candidate.listed.dataCentre === dataCentre ? local : remote).push(candidate)
+  const sampleFrom = (group: readonly T[], count: number) => {
+    for (let index = 0; index < count && group.length > 0; index++)
+      sampled.add(group[Math.floor(random() * group.length)]!)
   }
-  drawFrom(near, NEAR_DRAWN)
-  drawFrom(far, FAR_DRAWN)
-  return drawn
+  sampleFrom(local, LOCAL_SAMPLE_SIZE)
+  sampleFrom(remote, REMOTE_SAMPLE_SIZE)
+  return sampled
 }
 
-function pickLessLoaded<T extends UpstreamCandidate>(
+function pickLeastLoaded<T extends UpstreamCandidate>(
   candidates: readonly T[],
   { random, dataCentre }: PickOptions,
 ): T {
   const first = candidates[Math.floor(random() * candidates.length)]!
   const second = candidates[Math.floor(random() * candidates.length)]!
-  const near = candidates.filter(candidate => candidate.listed.dataCentre === dataCentre)
-  const third = near.length > 0 ? near[Math.floor(random() * near.length)]! : first
+  const local = candidates.filter(candidate => candidate.listed.dataCentre === dataCentre)
+  const third = local.length > 0 ? local[Math.floor(random() * local.length)]! : first
   const cost = ({ load, listed }: T) =>
-    load / Math.max(1, listed.slots) - (listed.dataCentre === dataCentre ? NEAR_BONUS : 0)
+    load / Math.max(1, listed.slots) - (listed.dataCentre === dataCentre ? LOCAL_LOAD_BONUS : 0)
   return [first, second, third].reduce((best, next) => (cost(next) < cost(best) ? next : best))
 }
--- a/packages/decisions/src/listing/textHomes.ts
+++ b/packages/decisions/src/listing/textHomes.ts
@@ -1,26 +1,20 @@
 import { hashText, mixHashes } from '../utils/rendezvousHash.js'
 import type { PromptWork, UpstreamCandidate } from './upstreamCandidate.js'
 
-/** Part of a text that its home keeps, and what it is worth. */
-const HOME_SHARE = 1
+/** Weight of the cache hit expected at a prefix's home. */
+const FIRST_HOME_WEIGHT = 1
+/** Weight at the second home, which takes the overflow of a popular prefix from the first. */
+const SECOND_HOME_WEIGHT = 0.2
 /**
- * The second home takes what the first has no time for, so that a text that many ask for is kept in two places. A fifth is
- * more than chance and leaves the first its own.
+ * Engines from which a data centre gets its own home for each prefix, so that its prompts stay
+ * local. With fewer, duplicate prefixes would take too much of their cache memory.
  */
-const SECOND_HOME_SHARE = 0.2
-/**
- * A data centre with this many engines has homes of its own: its prompts need not cross, and what its engines have no time
- * for goes to the text's home in another. Fewer engines would give too much of their memory to copies of each text.
- * With 12 engines in each of three data centres 2 % of the prompts cross at a quarter of the load that can be read and 15 %
- * at 0.7 of it, where one home for all let 67 and 61 % cross; at 0.83 of it 99 % begin in time in place of 18 %
- * (played load, `placingLoad.test.ts`).
- */
-const OWN_HOMES_FROM = 6
+const MIN_ENGINES_FOR_OWN_HOMES = 6
 
-/** Fewer shared tokens are read again sooner than a copy of them is worth its transfer. */
-const LEAST_COPIED_TOKENS = 1_000
+/** Below this many shared tokens, a prefill is cheaper than a transfer. */
+const MIN_COPIED_TOKENS = 1_000
 
-/** The two that rank highest of some candidates. */
+/** The two candidates with the highest rendezvous scores. */
 interface Ranking<T> {
   first: T
   firstScore: number
@@ -29,11 +23,11 @@
 }
 
 /**
- * The upstreams that keep a prompt's shared parts, if they were read before, with the part that each is worth. The first is
- * the home for callers of `dataCentre`. By rendezvous, over the hashes of names that candidates carry: among 98 engines it
- * takes 18 us where hashing each name and sorting them took 42 us (means of 20,000 prompts on a busy machine).
+ * The upstreams expected to have a prompt's shared prefix cached, with the weight of a cache hit at
+ * each, by rendezvous hashing. The first is the home for callers of `dataCentre`. Empty without a
+ * prefix.
  */
-export function textHomes<T extends UpstreamCandidate>(
+export function prefixHomes<T extends UpstreamCandidate>(
   { homeKey }: PromptWork,
   candidates: readonly T[],
   dataCentre: string,
@@ -43,22 +37,23 @@
   const groupOf = createGroups(candidates)
   const rankings = rankInGroups(hashText(homeKey), candidates, groupOf)
   const own = rankings.get(groupOf(dataCentre))
-  if (own) homes.set(own.first, HOME_SHARE)
-  if (own?.second) homes.set(own.second, SECOND_HOME_SHARE)
-  for (const ranking of rankings.values()) if (ranking !== own) homes.set(ranking.first, HOME_SHARE)
+  if (own) homes.set(own.first, FIRST_HOME_WEIGHT)
+  if (own?.second) homes.set(own.second, SECOND_HOME_WEIGHT)
+  for (const ranking of rankings.values())
+    if (ranking !== own) homes.set(ranking.first, FIRST_HOME_WEIGHT)
   return homes
 }
 
-/** Data centres with few engines share their homes. */
+/** Group of all data centres that are too small for homes of their own. */
 const SHARED_GROUP = ''
 
-/** Gives for a data centre the group within which its texts have their homes. */
+/** Returns a function from a data centre to the group within which its prefix homes are ranked. */
 function createGroups(candidates: readonly UpstreamCandidate[]): (dataCentre: string) => string {
   const engines = new Map<string, number>()
   for (const { listed } of candidates)
     engines.set(listed.dataCentre, (engines.get(listed.dataCentre) ?? 0) + 1)
   return dataCentre =>
-    (engines.get(dataCentre) ?? 0) >= OWN_HOMES_FROM ? dataCentre : SHARED_GROUP
+    (engines.get(dataCentre) ?? 0) >= MIN_ENGINES_FOR_OWN_HOMES ? dataCentre : SHARED_GROUP
 }
 
 function rankInGroups<T extends UpstreamCandidate>(
@@ -87,21 +82,21 @@
 }
 
 /**
- * The upstream from which another one copies a prompt's shared parts in place of reading them, if there is one. Copies are
- * asked for with larger models only: a token of the largest takes 44 to 79 us to read and 0.4 us to copy, one of the
- * smallest 5 to 8, and what it costs to move it is more than what reading costs.
+ * The upstream from which `chosen` should copy the KV cache of the shared prefix, if any: the
+ * prefix's home of the same version. Larger models only: for the smallest a prefill is cheaper than
+ * a transfer.
  */
 export function copySource<T extends UpstreamCandidate>(
   prompt: PromptWork,
   chosen: T,
   candidates: readonly T[],
 ): T | undefined {
-  if (!prompt.isLargerModel || prompt.sharedTokens < LEAST_COPIED_TOKENS) return undefined
+  if (!prompt.isLargerModel || prompt.sharedTokens < MIN_COPIED_TOKENS) return undefined
   const { version } = chosen.listed
-  const alike = candidates.filter(
+  const sameVersion = candidates.filter(
     ({ listed, isEjected }) => listed.version === version && !isEjected,
   )
-  const homes = textHomes(prompt, alike, chosen.listed.dataCentre)
+  const homes = prefixHomes(prompt, sameVersion, chosen.listed.dataCentre)
   const [home] = homes.keys()
   return home === chosen ? undefined : home
 }
--- a/packages/decisions/src/listing/unreadWork.ts
+++ b/packages/decisions/src/listing/unreadWork.ts
@@ -1,126 +1,129 @@
 /**
- * The prompts that engines have still to read, as one box knows them: its own and, by what it is told, those of others.
- * A few boxes tell each other directly. Where there are more, each tells the relay of its data centre, which tells all
- * of them the sums: a box of 90, each with 4 prompts a second, then sends 15 messages a second about them in place of 116.
+ * Pending prefill work at each upstream as one box knows it: its own, and what other boxes report.
+ * A few boxes report to each other directly. In larger deployments each box reports to the relay of
+ * its data centre, which broadcasts the sums.
  */
 import type { Milliseconds } from '../types/clock.js'
 
-/** Work at one upstream. */
+/** Pending prefill time at one upstream, at the pace of the estimates. */
 export type WorkEntry = [upstream: string, work: Milliseconds]
 
-/** Whom a box tells: each other box, its data centre's relay, or, as the relay, its data centre. */
+/**
+ * Where a box reports: to every other box, to its data centre's relay, or, as the relay, to its
+ * data centre.
+ */
 export type WorkRole = 'direct' | 'member' | 'relay'
 
 export interface UnreadWork {
-  /** This box's own, by upstream. */
+  /** This box's own work, by upstream. */
   own: Map<string, Milliseconds>
-  /** What was last told, by upstream. */
-  told: Map<string, Milliseconds>
-  /** That of others, by upstream and whoever told of it. */
-  others: Map<string, Map<string, HeardWork>>
+  /** The work last reported to others, by upstream. */
+  lastSent: Map<string, Milliseconds>
+  /** Work reported by others, by upstream and sender. */
+  received: Map<string, Map<string, ReceivedWork>>
 }
 
-interface HeardWork {
+interface ReceivedWork {
   work: Milliseconds
-  heardAt: Milliseconds
+  receivedAt: Milliseconds
 }
 
-/** Others' work that was not told of again is forgotten after this: six rounds in which everything is told again. */
-const HEARD_LIFETIME: Milliseconds = 2_500
-/** Smaller changes are not worth a message. */
-const LEAST_CHANGE: Milliseconds = 8
-/** What is left of a sum by rounding. */
-const NOTHING: Milliseconds = 0.5
-/** Stands for the relay in place of a box's name. */
-const RELAY = ''
+/** Received work expires after this without a new report: six rounds of full reports. */
+const RECEIVED_LIFETIME: Milliseconds = 2_500
+/** Smaller changes are not reported. */
+const MIN_CHANGE: Milliseconds = 8
+/** Sums below this are rounding residue and count as zero. */
+const ROUNDING_ERROR: Milliseconds = 0.5
+/** Sender key of the relay's sums. */
+const RELAY_SENDER = ''
 
 export function createUnreadWork(): UnreadWork {
-  return { own: new Map(), told: new Map(), others: new Map() }
+  return { own: new Map(), lastSent: new Map(), received: new Map() }
 }
 
-/** This box has sent a prompt, or an engine has read it. */
+/** Adds work for a prompt that this box sent; negative work when its prefill ended. */
 export function addOwnWork({ own }: UnreadWork, upstream: string, work: Milliseconds): void {
   const next = (own.get(upstream) ?? 0) + work
-  if (next < NOTHING) own.delete(upstream)
+  if (next < ROUNDING_ERROR) own.delete(upstream)
   else own.set(upstream, next)
 }
 
-/** Another box tells of its own work. */
+/** Records another box's report of its own work. Zero work removes an entry. */
 export function takeBoxWork(
   state: UnreadWork,
   box: string,
   entries: readonly WorkEntry[],
-  heardAt: Milliseconds,
+  receivedAt: Milliseconds,
 ): void {
   for (const [upstream, work] of entries) {
-    const heard = state.others.get(upstream) ?? new Map<string, HeardWork>()
-    state.others.set(upstream, heard)
-    if (work > 0) heard.set(box, { work, heardAt })
-    else heard.delete(box)
+    const bySender = state.received.get(upstream) ?? new Map<string, ReceivedWork>()
+    state.received.set(upstream, bySender)
+    if (work > 0) bySender.set(box, { work, receivedAt })
+    else bySender.delete(box)
   }
 }
 
-/** The relay tells of the work of the whole data centre, in which is what this box has told it. */
+/** Records the relay's sums for the data centre, less what this box last reported to it. */
 export function takeWorkSums(
   state: UnreadWork,
   entries: readonly WorkEntry[],
-  heardAt: Milliseconds,
+  receivedAt: Milliseconds,
 ): void {
-  const ofOthers = entries.map(([upstream, sum]): WorkEntry => {
-    return [upstream, Math.max(0, sum - (state.told.get(upstream) ?? 0))]
+  const othersWork = entries.map(([upstream, sum]): WorkEntry => {
+    return [upstream, Math.max(0, sum - (state.lastSent.get(upstream) ?? 0))]
   })
-  takeBoxWork(state, RELAY, ofOthers, heardAt)
+  takeBoxWork(state, RELAY_SENDER, othersWork, receivedAt)
 }
 
-/** Time that an engine reads for at the pace of the estimates. */
+/** Pending prefill time at an upstream over all boxes; expired reports don't count. */
 export function unreadAt(state: UnreadWork, upstream: string, now: Milliseconds): Milliseconds {
   let sum = state.own.get(upstream) ?? 0
-  for (const { work, heardAt } of state.others.get(upstream)?.values() ?? [])
-    if (now - heardAt < HEARD_LIFETIME) sum += work
+  for (const { work, receivedAt } of state.received.get(upstream)?.values() ?? [])
+    if (now - receivedAt < RECEIVED_LIFETIME) sum += work
   return sum
 }
 
-/** What a box in this role tells of an upstream. */
-function tellable(state: UnreadWork, role: WorkRole, upstream: string, now: Milliseconds) {
+/** The work that a box in this role reports for an upstream. */
+function workToSend(state: UnreadWork, role: WorkRole, upstream: string, now: Milliseconds) {
   return role === 'relay' ? unreadAt(state, upstream, now) : (state.own.get(upstream) ?? 0)
 }
 
 function upstreamsOf(state: UnreadWork, role: WorkRole): Set<string> {
-  const others = role === 'relay' ? state.others.keys() : []
-  return new Set([...state.own.keys(), ...state.told.keys(), ...others])
+  const others = role === 'relay' ? state.received.keys() : []
+  return new Set([...state.own.keys(), ...state.lastSent.keys(), ...others])
 }
 
-/** What has changed since it was last told. It counts as told from now on. */
+/** The entries that changed since the last report; marks them as reported. */
 export function changedWork(state: UnreadWork, role: WorkRole, now: Milliseconds): WorkEntry[] {
   const changed: WorkEntry[] = []
   for (const upstream of upstreamsOf(state, role)) {
-    const work = tellable(state, role, upstream, now)
-    if (Math.abs(work - (state.told.get(upstream) ?? 0)) < LEAST_CHANGE) continue
+    const work = workToSend(state, role, upstream, now)
+    if (Math.abs(work - (state.lastSent.get(upstream) ?? 0)) < MIN_CHANGE) continue
     changed.push([upstream, Math.round(work)])
-    if (work > 0) state.told.set(upstream, work)
-    else state.told.delete(upstream)
+    if (work > 0) state.lastSent.set(upstream, work)
+    else state.lastSent.delete(upstream)
   }
   return changed
 }
 
-/** All that a box tells, for those that may have missed a change. */
+/** All non-zero entries, for receivers that may have missed a change. */
 export function allWork(state: UnreadWork, role: WorkRole, now: Milliseconds): WorkEntry[] {
   const entries: WorkEntry[] = []
   for (const upstream of upstreamsOf(state, role)) {
-    const work = Math.round(tellable(state, role, upstream, now))
+    const work = Math.round(workToSend(state, role, upstream, now))
     if (work > 0) entries.push([upstream, work])
   }
   return entries
 }
 
-/** The box tells others from now on: they know nothing of it, and whoever told this box no longer does. */
+/** Clears sent and received reports, since a change of role changes both receivers and senders. */
 export function changeWorkRole(state: UnreadWork): void {
-  state.told.clear()
-  state.others.clear()
+  state.lastSent.clear()
+  state.received.clear()
 }
 
-/** The upstream is gone. */
+/** Removes the reports on an upstream that is gone. */
 export function forgetWork(state: UnreadWork, upstream: string): void {
-  state.others.delete(upstream)
-  state.told.delete(upstream)
+  state.received.delete(upstream)
+  state.lastSent.delete(upstream)
 }
--- a/packages/decisions/src/listing/upstreamCandidate.ts
+++ b/packages/decisions/src/listing/upstreamCandidate.ts
@@ -1,32 +1,32 @@
 import type { Milliseconds } from '../types/clock.js'
 import type { ListedUpstream } from './upstreamList.js'
 
-/** An upstream that may be sent a request, and what is known of its load. */
+/** An upstream that can be sent a request, with its known load. */
 export interface UpstreamCandidate {
   listed: ListedUpstream
-  /** Hash of its id. */
+  /** Hash of `listed.id`, for rendezvous hashing. */
   nameHash: number
-  /** Requests under way there: this box's own, and what the upstream told of others'. */
+  /** Requests in flight: this box's own, and those of others as the upstream reports them. */
   load: number
-  /** Time that it still reads prompts for, by what all boxes have sent it. */
+  /** Estimated pending prefill time, over the prompts of all boxes. */
   waiting: Milliseconds
-  /** How many times slower than others it reads. */
+  /** Prefill time relative to other upstreams; 2 takes twice as long. */
   slowness: number
-  /** Ejected upstreams are taken only when there is no other. */
+  /** Ejected upstreams are used only when there is no other. */
   isEjected: boolean
 }
 
-/** What a prompt costs an engine. */
+/** Estimated prefill cost of a prompt. */
 export interface PromptWork {
   model: string
-  /** Reading all of it. */
+  /** Prefill time of the whole prompt. */
   whole: Milliseconds
-  /** Reading the parts that other requests share. */
+  /** Prefill time of the prefix shared with other requests. */
   shared: Milliseconds
-  /** Tokens of the parts that other requests share. */
+  /** Tokens of the shared prefix. */
   sharedTokens: number
-  /** The route has a smaller one. */
+  /** Whether the route also has a smaller model. */
   isLargerModel?: boolean
-  /** Names the shared parts for the model; undefined when there are none. */
+  /** Identifies the shared prefix for this model; undefined when there is none. */
   homeKey?: string
 }
--- a/packages/decisions/src/listing/upstreamList.ts
+++ b/packages/decisions/src/listing/upstreamList.ts
@@ -1,65 +1,74 @@
 import type { Milliseconds } from '../types/clock.js'
 
-/** One upstream as the platform's list shows it. */
+/** An upstream's entry in the platform's service registry. */
 export interface ListedUpstream {
-  /** Its name. Its address may be used again by another, and its name by a later run of its own. */
+  /** Unique name. A later run may reuse the name, and another upstream the address. */
   id: string
-  /** When its run began, in Unix milliseconds on its own clock. Undefined where every run has a name of its own. */
+  /**
+   * Start of its run, in Unix milliseconds on its own clock. Undefined where each run has a new id.
+   */
   startedAt?: number
   service: string
   /** `host:port`. */
   address: string
   dataCentre: string
-  /** Of its software. */
+  /** Software version. */
   version: string
-  /** Requests that it works on at a time. */
+  /** Requests that it processes concurrently. */
   slots: number
   state: 'ready' | 'draining'
-  /** How much longer it is cold, when it wrote its entry. Left out where it is warm. */
+  /** Remaining cold-start time when it wrote its entry. Undefined when it is warm. */
   coldFor?: Milliseconds
-  /** Of the store, when the upstream last wrote its entry. */
+  /** Store revision of the upstream's last write of its entry. */
   revision: number
 }
 
-/** Names one run of an upstream: what is known of a run ends with it. */
+/** Identifies one run of an upstream: state recorded for a run ends with it. */
 export function runOf({ id, startedAt }: Pick<ListedUpstream, 'id' | 'startedAt'>): string {
   return startedAt === undefined ? id : `${id}@${startedAt}`
 }
 
 export interface UpstreamListState {
   entries: Map<string, ListedUpstream>
-  /** Entries that were missing from the first lists after an outage, and since when. */
+  /**
+   * Entries missing since a store outage, kept for the grace period, with when they were first
+   * missed.
+   */
   missing: Map<string, Milliseconds>
-  /** The store gave no answer since the last list that was taken. */
+  /** The store has not answered since the last list. */
   isStoreOut: boolean
-  /** When the first list after an outage was taken. */
-  backAt?: Milliseconds
+  /** When the store answered again after its last outage. */
+  returnedAt?: Milliseconds
 }
 
-/** Upstreams that live write their entries again within two seconds of the store's return; with its own lag. */
+/**
+ * Live upstreams renew their entries within two seconds after an outage; plus the store's own lag.
+ */
 export const RETURN_GRACE: Milliseconds = 2_200
 
 export function createUpstreamListState(): UpstreamListState {
   return { entries: new Map(), missing: new Map(), isStoreOut: false }
 }
 
-/** The store did not answer. Entries may lapse meanwhile although their upstreams live. */
+/** Records a store outage, during which entries of live upstreams may expire. */
 export function noteListOutage(state: UpstreamListState): void {
   state.isStoreOut = true
 }
 
-/** The store answers again: from now on entries that lapsed meanwhile have time to come back. */
+/**
+ * Records that the store answers again; starts the grace period for entries that expired meanwhile.
+ */
 export function noteListReturn(state: UpstreamListState, now: Milliseconds): void {
   if (!state.isStoreOut) return
   state.isStoreOut = false
-  state.backAt = now
+  state.returnedAt = now
 }
 
 /**
- * Takes a whole list. An entry that is missing is gone, unless the store has just returned: then it is kept for a
- * short time, in which a living upstream comes back. An entry whose address another process has since written for itself is
- * gone as well: upstreams that crash stay listed for three heartbeats. Gives the ids of the runs that are gone: a later run may
- * stand under the same id.
+ * Applies a full list. Missing entries are removed, except ready ones during the grace period after
+ * a store outage. Entries whose address a later process claims are removed too, since a crashed
+ * upstream stays listed for three heartbeats. Returns the ids of runs that ended; a later run may
+ * use the same id.
  */
 export function takeUpstreamList(
   state: UpstreamListState,
@@ -69,10 +78,10 @@
   const owners = addressOwners(listed)
   const current = listed
     .filter(entry => !isLater(owners.get(entry.address)!, entry))
-    .map(entry => newestOf(entry, state.entries.get(entry.id)))
+    .map(entry => mergeEntry(entry, state.entries.get(entry.id)))
     .filter(entry => entry !== undefined)
   const next = new Map(current.map(entry => [entry.id, entry]))
-  const inGrace = state.backAt !== undefined && now - state.backAt < RETURN_GRACE
+  const inGrace = state.returnedAt !== undefined && now - state.returnedAt < RETURN_GRACE
   const gone: string[] = []
   for (const [id, entry] of state.entries) {
     const successor = next.get(id)
@@ -92,16 +101,15 @@
 }
 
 /**
- * When the entries that are missing have had their time to come back; undefined where none is missing, or the store is out
- * again.
+ * End of the grace period for missing entries; undefined when none is missing or the store is out.
  */
-export function returnGraceEnd({ missing, isStoreOut, backAt }: UpstreamListState) {
-  return missing.size === 0 || isStoreOut || backAt === undefined
+export function returnGraceEnd({ missing, isStoreOut, returnedAt }: UpstreamListState) {
+  return missing.size === 0 || isStoreOut || returnedAt === undefined
     ? undefined
-    : backAt + RETURN_GRACE
+    : returnedAt + RETURN_GRACE
 }
 
-/** Drops the entries that did not come back. Gives their ids. */
+/** Removes the missing entries after the grace period. Returns their ids. */
 export function dropMissing(state: UpstreamListState): string[] {
   const gone = [...state.missing.keys()]
   for (const id of gone) state.entries.delete(id)
@@ -110,11 +118,12 @@
 }
 
 /**
- * What is to be believed of an upstream by its entry and what is known. The store may do an unanswered write seconds later, so
- * that an older entry comes after a newer one: of two runs the later one counts, and a run that has said that it leaves does not
- * come back. Undefined for an entry without the start of a run under a name that has told one: another writer's.
+ * Merges a listed entry with the known one. A timed-out write may still be applied seconds later,
+ * so a stale entry can follow a newer one: the later run wins, and a draining run stays draining.
+ * Undefined (discard) for an entry without `startedAt` where the known one has it: it is another
+ * writer's.
  */
-function newestOf(
+function mergeEntry(
   entry: ListedUpstream,
   known: ListedUpstream | undefined,
 ): ListedUpstream | undefined {
@@ -126,7 +135,7 @@
   return entry.startedAt > known.startedAt ? entry : known
 }
 
-/** The entry that holds at each address: that of the later run, or the one that was written later. */
+/** The current entry of each address: the later run's, or the one written last. */
 function addressOwners(listed: readonly ListedUpstream[]): Map<string, ListedUpstream> {
   const owners = new Map<string, ListedUpstream>()
   for (const entry of listed) {
@@ -136,7 +145,7 @@
   return owners
 }
 
-/** An entry without the start of its run holds against none that has one: it may be another writer's. */
+/** Entries without `startedAt` count as older than any with it: they may be another writer's. */
 function isLater(entry: ListedUpstream, other: ListedUpstream): boolean {
   const startedAt = entry.startedAt ?? -Infinity
   const otherStartedAt = other.startedAt ?? -Infinity
--- a/packages/decisions/src/listing/workEstimates.ts
+++ b/packages/decisions/src/listing/workEstimates.ts
@@ -1,105 +1,108 @@
 import type { Milliseconds } from '../types/clock.js'
 
 /**
- * How long an engine reads prompts, learned for each model from how soon answers begin. Engines read prompts one
- * after the other and hold up the tokens of whatever runs beside, so this time, and not the number of requests,
- * is the load that matters.
+ * Estimates prefill times for each model from the time to first token. Engines prefill prompts one
+ * at a time and stall running streams meanwhile, so pending prefill time measures load better than
+ * requests.
  */
 export interface WorkEstimates {
   models: Map<string, ModelRate>
 }
 
 interface ModelRate {
-  /** Milliseconds for 1,000 tokens of a short prompt when nothing waits before it, with what engines mostly keep of it. */
+  /**
+   * Prefill time of 1,000 tokens of a short prompt without queueing, at the usual prefix cache hit
+   * rate.
+   */
   rate: Milliseconds
-  /** The same where engines keep nothing of the prompt. */
-  unkeptRate: Milliseconds
+  /** The same without prefix cache hits. */
+  uncachedRate: Milliseconds
 }
 
-/** Before anything is learned, where the caller names the model: some 60 tokens in a millisecond, a middle size. */
-const FIRST_RATE: Milliseconds = 16
+/** Prefill time of 1,000 tokens for a model without samples or a known rank: a medium model. */
+const DEFAULT_RATE: Milliseconds = 16
 /**
- * Before anything is learned of models of which the smallest and the order are known. Engines of today read 1,000 tokens
- * in 5 to 8 ms with the smallest of three, in 44 to 79 ms with the largest; one rate for all, 16 ms, let a box that had
- * just started take the largest model's prompts for short ones and short ones wait behind them for 2 s.
+ * Initial prefill time of 1,000 tokens for the smallest model of a route. Starting all models alike
+ * would queue short prompts behind long-running prefills of the largest until samples arrive.
  */
-const SMALLEST_RATE: Milliseconds = 6
+const SMALLEST_MODEL_RATE: Milliseconds = 6
+/** Factor from each model of a route to the next larger one. */
 const RATE_STEP = 3.2
-/** Shorter prompts say more of the network than of the engine. */
-const LEAST_TOKENS = 600
-/** The rate follows the faster answers, which did not wait: a slower one moves it little, a faster one at once. */
+/** For shorter prompts, network latency dominates the sample. */
+const MIN_SAMPLED_TOKENS = 600
+/** Weights of faster and slower samples: slower ones include queueing, so they count less. */
 const DOWNWARD_WEIGHT = 0.25
 const UPWARD_WEIGHT = 0.03
-/** Prompts that others share more of than this say little of how long it takes to read a text that is not kept. */
-const MOST_SHARED = 0.4
+/** Prompts with a larger shared fraction are not sampled for the uncached rate. */
+const MAX_SHARED_FRACTION = 0.4
 
 /**
- * A token of a prompt is compared with all before it, so that long prompts take longer a token: twice as long at this
- * many tokens for engines that read 61 to 68 tokens in a ms and compare a million pairs in 0.32 ms.
+ * Prompt length at which attention, quadratic in the length, doubles the prefill time per token.
  */
-const DOUBLED_AT_TOKENS = 100_000
+const COST_DOUBLES_AT_TOKENS = 100_000
 
-/** A prompt's length in tokens of a short one that take as long to read. */
-function readingSize(tokens: number): number {
-  return tokens * (1 + tokens / DOUBLED_AT_TOKENS)
+/** The number of tokens of a short prompt with the same prefill time. */
+function effectiveTokens(tokens: number): number {
+  return tokens * (1 + tokens / COST_DOUBLES_AT_TOKENS)
 }
 
 export function createWorkEstimates(): WorkEstimates {
   return { models: new Map() }
 }
 
-/** Models of a route, the smallest first: what is not known of them yet is expected from their order. */
+/** Initialises the rates of a route's models, ordered from the smallest; known rates stay. */
 export function expectModels(estimates: WorkEstimates, models: readonly string[]): void {
-  for (const [place, model] of models.entries())
+  for (const [rank, model] of models.entries())
     if (!estimates.models.has(model))
-      estimates.models.set(model, knownRate(SMALLEST_RATE * RATE_STEP ** place))
+      estimates.models.set(model, createModelRate(SMALLEST_MODEL_RATE * RATE_STEP ** rank))
 }
 
-function knownRate(rate: Milliseconds): ModelRate {
-  return { rate, unkeptRate: rate }
+function createModelRate(rate: Milliseconds): ModelRate {
+  return { rate, uncachedRate: rate }
 }
 
-/** How long an engine that keeps nothing of the prompt reads so many tokens. */
+/** Estimated prefill time of a prompt without prefix cache hits. */
 export function unkeptWorkOf(
   estimates: WorkEstimates,
   model: string,
   tokens: number,
 ): Milliseconds {
-  const rate = estimates.models.get(model)?.unkeptRate ?? FIRST_RATE
-  return (rate * readingSize(tokens)) / 1_000
+  const rate = estimates.models.get(model)?.uncachedRate ?? DEFAULT_RATE
+  return (rate * effectiveTokens(tokens)) / 1_000
 }
 
-/** How long the engine reads so many tokens. */
+/** Estimated prefill time of a prompt at the usual prefix cache hit rate. */
 export function workOf(estimates: WorkEstimates, model: string, tokens: number): Milliseconds {
-  const rate = estimates.models.get(model)?.rate ?? FIRST_RATE
-  return (rate * readingSize(tokens)) / 1_000
+  const rate = estimates.models.get(model)?.rate ?? DEFAULT_RATE
+  return (rate * effectiveTokens(tokens)) / 1_000
 }
 
-/** A prompt, and how much of it other requests share. */
+/** Length of a prompt, and of its prefix shared with other requests. */
 export interface PromptSize {
   tokens: number
   sharedTokens: number
 }
 
-/** An answer to a prompt began after `took`. */
+/** Samples the time to first token of a prompt. */
 export function noteFirstEvent(
   estimates: WorkEstimates,
   model: string,
   { tokens, sharedTokens }: PromptSize,
-  took: Milliseconds,
+  timeToFirstToken: Milliseconds,
 ): void {
-  if (tokens < LEAST_TOKENS) return
-  const sample = (took * 1_000) / readingSize(tokens)
+  if (tokens < MIN_SAMPLED_TOKENS) return
+  const sample = (timeToFirstToken * 1_000) / effectiveTokens(tokens)
   const known = estimates.models.get(model)
   if (!known) {
-    estimates.models.set(model, knownRate(Math.min(sample, 4 * FIRST_RATE)))
+    estimates.models.set(model, createModelRate(Math.min(sample, 4 * DEFAULT_RATE)))
     return
   }
-  known.rate = follow(known.rate, sample)
-  if (sharedTokens <= MOST_SHARED * tokens) known.unkeptRate = follow(known.unkeptRate, sample)
+  known.rate = updateRate(known.rate, sample)
+  if (sharedTokens <= MAX_SHARED_FRACTION * tokens)
+    known.uncachedRate = updateRate(known.uncachedRate, sample)
 }
 
-function follow(rate: Milliseconds, sample: Milliseconds): Milliseconds {
+function updateRate(rate: Milliseconds, sample: Milliseconds): Milliseconds {
   const weight = sample < rate ? DOWNWARD_WEIGHT : UPWARD_WEIGHT
   return rate + weight * (Math.min(sample, 4 * rate) - rate)
 }
--- a/packages/decisions/test/coldLoad.test.ts
+++ b/packages/decisions/test/coldLoad.test.ts
@@ -12,12 +12,13 @@
 const BOXES = 84
 const ENGINES = 98
 const LIMIT = { perSecond: 8.8, most: 18.2 }
-/** Of all callers together. */
+/** Over all callers. */
 const PROMPTS_PER_SECOND = 330
-/** Part of the prompts that share one of a few texts, whose home engine all boxes prefer. */
-const SHARING = 1 / 3
-const TEXTS = 10
-const PATIENCE: Milliseconds = 300
+/** Share of prompts with one of a few popular prefixes, whose home engine all boxes prefer. */
+const POPULAR_SHARE = 1 / 3
+const POPULAR_PREFIXES = 10
+/** Longest wait for an engine that may be sent the request. */
+const MAX_WAIT: Milliseconds = 300
 const SECONDS = 30
 
 interface Engine {
@@ -26,12 +27,13 @@
   sent: Milliseconds[]
 }
 
-/** Whether a box may send a request to an engine now, by what it alone knows. */
+/** Whether a box may send a request to an engine now, by the box's own state. */
 type MaySend = (box: number, engine: Engine, now: Milliseconds) => boolean
 
 interface Outcome {
-  /** Requests in the fullest second of any engine. */
-  most: number
+  /** Most requests that any engine gets within a second. */
+  peakRate: number
+  /** Share of the requests sent within `MAX_WAIT`. */
   sentInTime: number
 }
 
@@ -40,8 +42,11 @@
   dataCentre: DATA_CENTRES[at % DATA_CENTRES.length]!,
 }))
 
-/** Prompts at boxes by chance; each goes to its text's home if that may be sent one, else to any other that may. */
-function play(coldEngines: number, maySend: MaySend): Outcome {
+/**
+ * Simulates prompts at random boxes. Each goes to its prefix's home if permitted, else to any
+ * permitted engine.
+ */
+function simulate(coldEngines: number, maySend: MaySend): Outcome {
   const random = createSeededRandom(5)
   const engines: Engine[] = Array.from({ length: coldEngines }, (_, at) => ({
     name: `engine-${at}`,
@@ -49,16 +54,18 @@
     sent: [],
   }))
   let sentInTime = 0
-  let asked = 0
+  let requests = 0
   for (let now = 0; now < SECONDS * 1_000; now += 1_000 / PROMPTS_PER_SECOND) {
-    asked++
+    requests++
     const box = Math.floor(random() * BOXES)
     const home =
-      random() < SHARING ? engines[Math.floor(random() * TEXTS) % coldEngines]! : undefined
+      random() < POPULAR_SHARE
+        ? engines[Math.floor(random() * POPULAR_PREFIXES) % coldEngines]!
+        : undefined
     const from = Math.floor(random() * coldEngines)
     const others = [...engines.slice(from), ...engines.slice(0, from)]
     const inOrder = home ? [home, ...others] : others
-    for (let waited = 0; waited <= PATIENCE; waited += 50) {
+    for (let waited = 0; waited <= MAX_WAIT; waited += 50) {
       const found = inOrder.find(engine => maySend(box, engine, now + waited))
       if (!found) continue
       found.sent.push(now + waited)
@@ -66,21 +73,21 @@
       break
     }
   }
-  return { most: Math.max(...engines.map(fullestSecond)), sentInTime: sentInTime / asked }
+  return { peakRate: Math.max(...engines.map(peakRateOf)), sentInTime: sentInTime / requests }
 }
 
-function fullestSecond({ sent }: Engine): number {
+function peakRateOf({ sent }: Engine): number {
   const sorted = [...sent].sort((left, right) => left - right)
   let first = 0
-  let most = 0
+  let peak = 0
   for (const [at, time] of sorted.entries()) {
     while (time - sorted[first]! >= 1_000) first++
-    most = Math.max(most, at - first + 1)
+    peak = Math.max(peak, at - first + 1)
   }
-  return most
+  return peak
 }
 
-/** Lets a box send to an engine once in an interval. */
+/** Permits each sender of an engine one request per interval. */
 function spaced(
   interval: Milliseconds,
   isSender: (box: number, engine: Engine) => boolean,
@@ -94,7 +101,9 @@
   }
 }
 
-/** The way that is kept: few senders for each engine. `seen` are the boxes that a box knows of. */
+/**
+ * The production policy: few senders for each engine. `seen` returns the boxes that a box knows.
+ */
 function fewSenders(seen: (box: number) => readonly BoxPlace[]): MaySend {
   const share = coldShareOf(LIMIT)
   const drawn = new Map<string, boolean>()
@@ -113,58 +122,58 @@
   })
 }
 
-/** The plainest other way: each box has an equal part. */
-const equalParts = () => spaced((1_000 * BOXES) / LIMIT.perSecond, () => true)
+/** Alternative for comparison: the rate divided evenly among all boxes. */
+const evenSplit = () => spaced((1_000 * BOXES) / LIMIT.perSecond, () => true)
 
-/** Another: boxes have their turns by a clock that they share. */
-const turns: MaySend = (() => {
-  const span = 1_000 / LIMIT.perSecond
+/** Alternative for comparison: time slots on a shared clock. */
+const timeSlots: MaySend = (() => {
+  const slotLength = 1_000 / LIMIT.perSecond
   const used = new Set<string>()
   return (box, engine, now) => {
-    const turn = Math.floor(now / span)
-    const key = `${engine.name} ${turn}`
-    if ((turn + hashText(engine.name)) % BOXES !== box || used.has(key)) return false
+    const slot = Math.floor(now / slotLength)
+    const key = `${engine.name} ${slot}`
+    if ((slot + hashText(engine.name)) % BOXES !== box || used.has(key)) return false
     used.add(key)
     return true
   }
 })()
 
-describe('requests to cold upstreams', () => {
-  it('stay below what each bears while all are cold, and nearly all are sent', () => {
-    const { most, sentInTime } = play(
+describe('the shared rate limit of cold upstreams', () => {
+  it('holds while all engines are cold, with nearly all requests sent in time', () => {
+    const { peakRate, sentInTime } = simulate(
       ENGINES,
       fewSenders(() => boxes),
     )
-    expect(most).to.be.at.most(9)
+    expect(peakRate).to.be.at.most(9)
     expect(sentInTime).to.be.above(0.9)
   })
 
-  it('stay below it while boxes disagree on who is entered', () => {
+  it('holds while boxes know different sets of boxes', () => {
     const some = (box: number) => boxes.filter((_, at) => at === box || (at * 7 + box) % 5 !== 0)
-    expect(play(ENGINES, fewSenders(some)).most).to.be.at.most(LIMIT.most)
+    expect(simulate(ENGINES, fewSenders(some)).peakRate).to.be.at.most(LIMIT.most)
   })
 
-  it('stay below it where few engines are left, and more are asked for', () => {
+  it('holds with few engines and more requests than they can take', () => {
     expect(
-      play(
+      simulate(
         4,
         fewSenders(() => boxes),
-      ).most,
+      ).peakRate,
     ).to.be.at.most(9)
   })
 
-  it('are too many at once where each box has an equal part, and no more of them go out in time where boxes wait for turns', () => {
-    expect(play(ENGINES, equalParts()).most).to.be.above(LIMIT.most)
-    expect(play(10, equalParts()).most).to.be.above(2 * LIMIT.most)
-    expect(play(ENGINES, turns).sentInTime).to.be.below(
-      play(
+  it('is exceeded with an even split among boxes, and time slots send fewer requests in time', () => {
+    expect(simulate(ENGINES, evenSplit()).peakRate).to.be.above(LIMIT.most)
+    expect(simulate(10, evenSplit()).peakRate).to.be.above(2 * LIMIT.most)
+    expect(simulate(ENGINES, timeSlots).sentInTime).to.be.below(
+      simulate(
         ENGINES,
         fewSenders(() => boxes),
       ).sentInTime,
     )
   })
 
-  it('are shared among fewer boxes where little is allowed', () => {
+  it('is divided among fewer senders when the rate is low', () => {
     expect(coldShareOf(LIMIT)).to.deep.include({ senders: 3 })
     expect(coldShareOf({ perSecond: 1, most: 1 })).to.deep.equal({
       senders: 1,
--- a/packages/decisions/test/listing.test.ts
+++ b/packages/decisions/test/listing.test.ts
@@ -32,14 +32,14 @@
   revision: 1,
 })
 
-describe('the list of upstreams', () => {
-  it('drops an entry that is missing while the store is well', () => {
+describe('the upstream list', () => {
+  it('removes a missing entry while the store is available', () => {
     const state = createUpstreamListState()
     takeUpstreamList(state, [listed('a'), listed('bb')], 0)
     expect(takeUpstreamList(state, [listed('a')], 1_000)).to.deep.equal(['bb'])
   })
 
-  it('keeps entries that lapsed while the store was out, until they had time to come back', () => {
+  it('keeps entries that expired during a store outage until the end of the grace period', () => {
     const state = createUpstreamListState()
     takeUpstreamList(state, [listed('a'), listed('bb')], 0)
     noteListOutage(state)
@@ -49,7 +49,7 @@
     expect(takeUpstreamList(state, [listed('a')], 8_000 + RETURN_GRACE)).to.deep.equal(['bb'])
   })
 
-  it('does not keep one that had said that it leaves', () => {
+  it('does not keep a missing entry that was draining', () => {
     const state = createUpstreamListState()
     takeUpstreamList(state, [listed('a'), listed('bb', 'draining')], 0)
     noteListOutage(state)
@@ -57,7 +57,7 @@
     expect(takeUpstreamList(state, [listed('a')], 8_000)).to.deep.equal(['bb'])
   })
 
-  it('takes an entry for gone once another process has written one for its address, also after an outage', () => {
+  it('removes an entry whose address a later process claims, also after a store outage', () => {
     const state = createUpstreamListState()
     const crashed = { ...listed('old'), revision: 7 }
     const successor = { ...listed('new'), address: crashed.address, revision: 9 }
@@ -70,14 +70,14 @@
     expect(takeUpstreamList(state, [successor, listed('a')], 8_100)).to.deep.equal(['old'])
   })
 
-  it('does not take an upstream back that has said that it leaves, when an older entry of it is written late', () => {
+  it('keeps an upstream draining when a stale ready entry of it is written late', () => {
     const state = createUpstreamListState()
     takeUpstreamList(state, [listed('a'), listed('bb', 'draining')], 0)
     takeUpstreamList(state, [listed('a'), listed('bb')], 1_000)
     expect(state.entries.get('bb')?.state).to.equal('draining')
   })
 
-  it('takes a missing entry for gone when it lapses after the time to come back', () => {
+  it('removes an entry that expires after the grace period', () => {
     const state = createUpstreamListState()
     takeUpstreamList(state, [listed('a'), listed('bb')], 0)
     noteListOutage(state)
@@ -87,25 +87,25 @@
   })
 })
 
-describe('the health of an upstream', () => {
-  it('ejects one that fails while the others do not', () => {
+describe('the passive health of an upstream', () => {
+  it('ejects an upstream that fails while the others do not', () => {
     const health = createExchangeHealth(0)
-    let isOut = false
+    let isEjectedNow = false
     for (let count = 0; count < 12; count++)
-      isOut ||= noteExchange(health, count % 2 ? 'failed' : 'good', 0.02, count)
-    expect(isOut).to.equal(true)
+      isEjectedNow ||= noteExchange(health, count % 2 ? 'failed' : 'good', 0.02, count)
+    expect(isEjectedNow).to.equal(true)
     expect(isEjected(health, 20)).to.equal(true)
   })
 
-  it('does not eject one of many that fail alike', () => {
+  it('does not eject an upstream that fails as often as the others', () => {
     const health = createExchangeHealth(0)
     for (let count = 0; count < 40; count++) {
-      const isOut = noteExchange(health, count % 3 ? 'good' : 'failed', 0.3, count)
-      expect(isOut).to.equal(false)
+      const isEjectedNow = noteExchange(health, count % 3 ? 'good' : 'failed', 0.3, count)
+      expect(isEjectedNow).to.equal(false)
     }
   })
 
-  it('ejects one that loses three requests in a row, and longer each time', () => {
+  it('ejects an upstream that loses three requests in a row, for longer each time', () => {
     const health = createExchangeHealth(0)
     for (let count = 0; count < 3; count++) noteExchange(health, 'lost', 0, 0)
     expect(isEjected(health, 900)).to.equal(true)
@@ -114,7 +114,7 @@
     expect(isEjected(health, 2_900)).to.equal(true)
   })
 
-  it('does not count a refusal against it', () => {
+  it('does not count shed requests as failures', () => {
     const health = createExchangeHealth(0)
     for (let count = 0; count < 50; count++)
       expect(noteExchange(health, 'shed', 0, count)).to.equal(false)
@@ -132,16 +132,16 @@
   }
 }
 
-describe('the choice of an upstream', () => {
+describe('pickUpstream', () => {
   const options = { dataCentre: 'ebene', random: createSeededRandom(4) }
   const prompt = { model: 'm', whole: 300, shared: 200, sharedTokens: 5_000, homeKey: 'm p1 p2' }
 
-  it('sends a prompt where it is read soonest', () => {
+  it('sends a prompt to the engine with the shortest prefill queue', () => {
     const busy = [candidate('a', 900), candidate('bb', 800), candidate('ccc', 10)]
     expect(pickUpstream(busy, { ...options, prompt })?.listed.id).to.equal('ccc')
   })
 
-  it('sends prompts that share parts to the same engine while that one is no busier than the parts are worth', () => {
+  it('sends prompts with a shared prefix to its home until the queue there outweighs the cache hit', () => {
     const idle = ['a', 'bb', 'ccc', 'dddd'].map(id => candidate(id))
     const home = pickUpstream(idle, { ...options, prompt })!
     home.waiting = 150
@@ -150,16 +150,16 @@
     expect(pickUpstream(idle, { ...options, prompt })).not.to.equal(home)
   })
 
-  it('sends what the home of a text has no time for to one other place', () => {
+  it('sends the overflow of a prefix home to a single other engine', () => {
     const engines = ['a', 'bb', 'ccc', 'dddd', 'eeeee', 'ffffff'].map(id => candidate(id))
     pickUpstream(engines, { ...options, prompt })!.waiting = 1_000
-    const taken = new Set(
+    const picked = new Set(
       Array.from({ length: 30 }, () => pickUpstream(engines, { ...options, prompt })?.listed.id),
     )
-    expect(taken.size).to.equal(1)
+    expect(picked.size).to.equal(1)
   })
 
-  it('keeps a small model at the home of a long text although reading it again takes little time', () => {
+  it('prefers the home of a long prefix for a small model, although its prefill is short', () => {
     const idle = ['a', 'bb', 'ccc', 'dddd'].map(id => candidate(id))
     const small = { ...prompt, whole: 40, shared: 20 }
     const home = pickUpstream(idle, { ...options, prompt: small })!
@@ -167,13 +167,13 @@
     expect(pickUpstream(idle, { ...options, prompt: small })).to.equal(home)
   })
 
-  it('keeps long prompts away from engines with many streams', () => {
+  it('avoids engines with many running streams for a long prompt', () => {
     const two = [candidate('a', 0, 20), candidate('bb', 100, 0)]
     const long = { model: 'm', whole: 2_000, shared: 0, sharedTokens: 0 }
     expect(pickUpstream(two, { ...options, prompt: long })?.listed.id).to.equal('bb')
   })
 
-  it('sends a short prompt to whichever engine is free, wherever long ones are read', () => {
+  it('sends a short prompt to the only engine with an empty queue', () => {
     const engines = Array.from({ length: 13 }, (_, number) => candidate(`engine-${number}`, 900))
     const short = { model: 'm', whole: 20, shared: 0, sharedTokens: 0 }
     for (const free of engines) {
@@ -183,7 +183,7 @@
     }
   })
 
-  it('has a larger model copy shared parts from their home when another engine reads the prompt', () => {
+  it('copies a shared prefix from its home for a larger model when another engine is chosen', () => {
     const engines = ['a', 'bb', 'ccc', 'dddd'].map(id => candidate(id))
     const home = pickUpstream(engines, { ...options, prompt })!
     const other = engines.find(engine => engine !== home)!
@@ -194,7 +194,7 @@
     expect(copySource({ ...large, sharedTokens: 200 }, other, engines)).to.equal(undefined)
   })
 
-  it('copies nothing from an engine of another version, or from one that is ejected', () => {
+  it('does not copy a prefix from an engine of another version or an ejected one', () => {
     const engines = ['a', 'bb', 'ccc'].map(id => candidate(id))
     const large = { ...prompt, isLargerModel: true }
     const home = pickUpstream(engines, { ...options, prompt: large })!
@@ -206,7 +206,7 @@
     expect([undefined, third]).to.include(copySource(large, other!, engines))
   })
 
-  it('takes an ejected upstream only when there is no other', () => {
+  it('picks an ejected upstream only when there is no other', () => {
     const ejected = { ...candidate('a'), isEjected: true }
     expect(
       pickUpstream([ejected, candidate('bb', 5_000)], { ...options, prompt })?.listed.id,
@@ -215,8 +215,8 @@
   })
 })
 
-describe('estimates of work', () => {
-  it('follow the faster answers, since the others waited', () => {
+describe('prefill estimates', () => {
+  it('follow the faster samples, since slower ones include queueing', () => {
     const estimates = createWorkEstimates()
     const random = createSeededRandom(9)
     for (let count = 0; count < 300; count++) {
@@ -226,22 +226,22 @@
     expect(workOf(estimates, 'large', 5_000)).to.be.within(200, 420)
   })
 
-  it('expect a token of a very long prompt to take longer than one of a short prompt', () => {
+  it('grow faster than linearly with the length of the prompt', () => {
     const estimates = createWorkEstimates()
     for (let count = 0; count < 300; count++)
       noteFirstEvent(estimates, 'large', { tokens: 5_000, sharedTokens: 0 }, 250)
-    // Engines of the sites read 50,000 tokens in 3.6 s where 5,000 take 0.25 s.
+    // Attention is quadratic: ten times the tokens take more than ten times as long.
     expect(workOf(estimates, 'large', 50_000)).to.be.within(3_200, 4_000)
   })
 
-  it('expect a larger model to read for longer before any answer came', () => {
+  it('start higher for larger models of a route before any sample', () => {
     const estimates = createWorkEstimates()
     expectModels(estimates, ['small', 'middle', 'large'])
     expect(workOf(estimates, 'small', 10_000)).to.be.within(50, 90)
     expect(workOf(estimates, 'large', 10_000)).to.be.within(500, 900)
   })
 
-  it('know how long a text takes that is not kept, however often it was', () => {
+  it('include an uncached rate that cached prompts do not lower', () => {
     const estimates = createWorkEstimates()
     expectModels(estimates, ['small', 'large'])
     for (let count = 0; count < 300; count++) {
@@ -252,7 +252,7 @@
     expect(unkeptWorkOf(estimates, 'large', 20_000)).to.be.within(1_500, 2_200)
   })
 
-  it('learn nothing from a short prompt', () => {
+  it('ignore samples of short prompts', () => {
     const estimates = createWorkEstimates()
     const before = workOf(estimates, 'small', 1_000)
     noteFirstEvent(estimates, 'small', { tokens: 50, sharedTokens: 0 }, 400)
