--- a/packages/decisions/src/placement/planPlacement.ts
+++ b/packages/decisions/src/placement/planPlacement.ts
@@ -1,50 +1,54 @@
 /**
- * Which engine is to run which version, so that the rows can be served. One box plans for all, under a lease.
- * Each call makes at most one step for each upstream from what is seen now, so a roll-out that was cut off
- * anywhere is simply gone on with by the next holder.
+ * Plans which engine runs which model version, so that the table's rows can be served. One box
+ * plans for all, under a lease. Each call returns at most one step per engine, computed from the
+ * observed state alone, so the next lease holder can continue an interrupted rollout at any point.
  */
 import type { Rights } from '../table/resolveRights.js'
 
-/** An engine as the plan sees it. */
+/** The observed state of an engine. */
 export interface PlacedEngine {
   id: string
-  /** `model@version` names that it is proved to run. */
+  /** `model@version` names that it is verified to run. */
   serves: readonly string[]
-  /** How many versions it can hold. */
+  /** Number of versions that it can hold. */
   room: number
-  /** Requests under way there, over all boxes. */
+  /** Requests in flight there, over all boxes. */
   inFlight: number
-  /** Whether it refuses an order that carries an old fence. */
+  /** Whether it rejects commands with a stale fencing token. */
   checksFence: boolean
-  /** A load that it has been ordered and not finished. */
+  /** Version that it is loading. */
   loading?: string
-  /** Emptied for a change: boxes send it no new work. */
+  /** Whether it drains before a change of version: boxes send it no new work. */
   emptying: boolean
 }
 
-/** What a version needs. */
+/** Number of engines wanted for a version. */
 export interface VersionDemand {
+  /** `model@version`. */
   version: string
-  /** Engines that should run it. */
   engines: number
 }
 
 export type PlacementStep =
-  /** Boxes stop sending new work of any version that is to be unloaded. */
+  /** Starts a drain: boxes stop sending the engine new work, so that it can load `forVersion`. */
   | { step: 'empty'; engine: string; forVersion: string }
   | { step: 'load'; engine: string; version: string; unload?: string }
+  /** Ends a drain that is no longer needed. */
   | { step: 'refill'; engine: string }
 
 export interface PlacementLimits {
-  /** Loads at a time: they share one weight store. */
+  /** Concurrent loads; all read from one weight store. */
   parallelLoads: number
-  /** Share of the engines of a model that may be missing at once. */
+  /** Share of the given engines, 0 to 1, that may drain or load at once; at least one may. */
   missingShare: number
 }
 
 export const DEFAULT_PLACEMENT_LIMITS: PlacementLimits = { parallelLoads: 2, missingShare: 0.25 }
 
-/** Engines wanted for each version: in proportion to weights over all organisations, one at least. */
+/**
+ * Engines wanted for each version: in proportion to its weights over all organisations, at least
+ * one.
+ */
 export function resolveDemand(
   rights: Rights,
   organisations: readonly string[],
@@ -71,7 +75,7 @@
   return demands
 }
 
-/** The next steps. Nothing is kept between calls. */
+/** Returns the next steps. Stateless between calls. */
 export function planPlacement(
   engines: readonly PlacedEngine[],
   demands: readonly VersionDemand[],
@@ -81,8 +85,8 @@
   const wanted = new Map(demands.map(demand => [demand.version, demand.engines]))
   const counts = countServing(engines)
   let loads = engines.filter(engine => engine.loading !== undefined).length
-  let missing = engines.filter(engine => engine.emptying || engine.loading !== undefined).length
-  const mayMiss = Math.max(1, Math.floor(engines.length * limits.missingShare))
+  let unavailable = engines.filter(engine => engine.emptying || engine.loading !== undefined).length
+  const maxUnavailable = Math.max(1, Math.floor(engines.length * limits.missingShare))
 
   for (const engine of engines) {
     if (engine.emptying && engine.loading === undefined && !needsChange(engine, wanted, counts)) {
@@ -102,11 +106,11 @@
         steps.push({ step: 'load', engine: candidate.id, version })
         continue
       }
-      const unload = leastNeeded(candidate, wanted, counts)
+      const unload = mostSurplusVersion(candidate, wanted, counts)
       if (!unload) break
       if (!candidate.emptying) {
-        if (missing >= mayMiss) break
-        missing++
+        if (unavailable >= maxUnavailable) break
+        unavailable++
         steps.push({ step: 'empty', engine: candidate.id, forVersion: version })
       } else if (candidate.inFlight === 0) {
         if (loads >= limits.parallelLoads) break
@@ -136,10 +140,12 @@
   const isLacking = [...wanted].some(
     ([version, count]) => !engine.serves.includes(version) && (counts.get(version) ?? 0) < count,
   )
-  return isLacking && leastNeeded(engine, wanted, counts) !== undefined
+  return isLacking && mostSurplusVersion(engine, wanted, counts) !== undefined
 }
 
-/** An engine being emptied first, then one with room, then the one with least work. */
+/**
+ * Prefers draining engines, then engines with room, then those with the fewest requests in flight.
+ */
 function pickEngine(
   engines: readonly PlacedEngine[],
   version: string,
@@ -152,12 +158,14 @@
   return engines
     .filter(engine => !used.has(engine.id) && engine.loading === undefined)
     .filter(engine => !engine.serves.includes(version))
-    .filter(engine => engine.serves.length < engine.room || leastNeeded(engine, wanted, counts))
+    .filter(
+      engine => engine.serves.length < engine.room || mostSurplusVersion(engine, wanted, counts),
+    )
     .sort((left, right) => rank(left) - rank(right))[0]
 }
 
-/** A version of the engine that more engines run than need to. */
-function leastNeeded(
+/** The version on this engine with the largest surplus of engines; undefined when none has any. */
+function mostSurplusVersion(
   engine: PlacedEngine,
   wanted: ReadonlyMap<string, number>,
   counts: ReadonlyMap<string, number>,
--- a/packages/decisions/src/routes/configuration.ts
+++ b/packages/decisions/src/routes/configuration.ts
@@ -1,16 +1,19 @@
 import type { Milliseconds } from '../types/clock.js'
 
-/** What may be repeated: a `safe` call always, an `unsafe` one never, a `streaming` answer where it may be resumed. */
+/**
+ * Retry policy: `safe` calls are always retried, `unsafe` ones never, `streaming` ones when the
+ * route is resumable.
+ */
 export type RouteKind = 'safe' | 'unsafe' | 'streaming'
 
-/** A service that a route sends requests to, and its share of them. */
+/** A service that a route sends requests to, with its weight. */
 export interface RouteTarget {
   service: string
   /** Relative to the other targets of the route. */
   weight: number
 }
 
-/** Where requests of one host and path prefix go, and how they are to be treated. */
+/** Routing and handling of the requests to one host and path prefix. */
 export interface Route {
   name: string
   host: string
@@ -18,50 +21,50 @@
   prefix: string
   kind: RouteKind
   targets: readonly RouteTarget[]
-  /** Upstreams that one request may be sent to at the most. */
+  /** Maximum number of upstreams that one request is sent to. */
   maxAttempts: number
-  /** How long the box may hold a request. */
+  /** Maximum time that the box may take for a request. */
   timeout: Milliseconds
-  /** An answer within this time earns all that it can. Counted to the first event of a stream. */
+  /** Latency objective of an answer; for a stream, of its first event. */
   latencyObjective: Milliseconds
-  /** The longest pause between two events of a stream that is still in time. */
+  /** Objective for the longest pause between two events of a stream. */
   pauseObjective?: Milliseconds
   /** 0 is the most urgent. */
   priority: number
-  /** Needs no key. */
+  /** Whether requests need no API key. */
   isPublic: boolean
-  /** A broken stream may go on at another upstream. */
+  /** Whether an interrupted stream may resume at another upstream. */
   isResumable: boolean
-  /** Models that may answer, the smallest first. Empty where the caller names the model. */
+  /** Models that may answer, smallest first. Empty when the caller names the model. */
   models: readonly string[]
 }
 
-/** A group of upstreams that serve the same. */
+/** A group of interchangeable upstreams. */
 export interface Service {
   name: string
   healthPath: string
-  /** Connections that one upstream accepts from all boxes together. */
+  /** Connections that one upstream accepts, over all boxes. */
   maxConnections: number
-  /** What an upstream bears that has just started. Left out where that is as much as later. */
+  /** Rate limit of a newly started upstream. Undefined when it can take full load at once. */
   cold?: ColdStart
 }
 
-/** How an upstream is after its start. */
+/** Rate limit of a newly started upstream. */
 export interface ColdStart {
-  /** It is warm after this at the latest. */
+  /** Longest duration of a cold start; the upstream is warm afterwards. */
   lasts: Milliseconds
-  /** Requests a second that it bears until then, from all boxes together. */
+  /** Requests per second until then, over all boxes. */
   perSecond: number
 }
 
 export interface OrganisationKeys {
   name: string
   keys: readonly string[]
-  /** 0 is the most urgent. Counts before the priority of the route. */
+  /** 0 is the most urgent. Takes precedence over the route's priority. */
   priority: number
 }
 
-/** What a caller may send, and how long it may take. */
+/** Size limit and timeouts for callers' requests. */
 export interface CallerLimits {
   bodyBytes: number
   headerTimeout: Milliseconds
@@ -70,11 +73,11 @@
 
 /** One version of the operators' configuration. */
 export interface Configuration {
-  /** Rises with each change. */
+  /** Increases with each change. */
   revision: number
   routes: readonly Route[]
   services: readonly Service[]
-  /** Undefined: no request needs a key. */
+  /** Undefined when no request needs an API key. */
   organisations?: readonly OrganisationKeys[]
   limits: CallerLimits
 }
--- a/packages/decisions/src/routes/routeIndex.ts
+++ b/packages/decisions/src/routes/routeIndex.ts
@@ -1,15 +1,18 @@
 import type { Configuration, OrganisationKeys, Route, Service } from './configuration.js'
 
-/** A configuration, indexed for requests. */
+/** A configuration indexed for lookups per request. */
 export interface RouteIndex {
   configuration: Configuration
-  /** The route of the host with the longest prefix of the path. */
+  /** The host's route with the longest matching path prefix. Ignores the port and the query. */
   match(host: string, path: string): Route | undefined
   organisationOf(key: string): OrganisationKeys | undefined
   service(name: string): Service | undefined
 }
 
-/** Indexes a configuration once, so that a request costs a few look-ups however many routes there are. */
+/**
+ * Indexes a configuration. The cost of a match grows with the path's depth, not with the number of
+ * routes.
+ */
 export function createRouteIndex(configuration: Configuration): RouteIndex {
   const hosts = new Map<string, Map<string, Route>>()
   for (const route of configuration.routes) {
@@ -34,7 +37,7 @@
   }
 }
 
-/** Walks the path from its last slash to its first. */
+/** Tries the prefixes of the path from its last slash back to its first. */
 function longestPrefix(prefixes: Map<string, Route>, path: string): Route | undefined {
   for (let end = path.lastIndexOf('/'); end >= 0; end = path.lastIndexOf('/', end - 1)) {
     const route = prefixes.get(path.slice(0, end + 1))
--- a/packages/decisions/src/table/acceptChange.ts
+++ b/packages/decisions/src/table/acceptChange.ts
@@ -9,15 +9,15 @@
 } from './table.js'
 import type { TableRow } from './tableRow.js'
 
-/** Keys of the table in the store. */
+/** Store keys of the table. */
 export const TABLE_KEYS = {
-  /** The revision in force: `{ revision }`. Read by every poll, so it is small. */
+  /** The current revision: `{ revision }`. Small, since every poll reads it. */
   head: 'table/head',
-  /** The whole table at the head's revision, for boxes that start. */
+  /** The whole table at the head's revision, read by boxes at startup. */
   snapshot: 'table/snapshot',
   changePrefix: 'table/change/',
   change: (revision: number) => `table/change/${String(revision).padStart(12, '0')}`,
-  /** Says at which revision a change was accepted, for writers whose answer was lost. */
+  /** The revision at which a change was accepted, for writers that got no response. */
   changeId: (changeId: string) => `table/change-id/${changeId}`,
 }
 
@@ -30,14 +30,17 @@
   rows: TableRow[]
 }
 
-/** What an operator is told about a change. `pending`: not known yet; ask again with the change's id. */
+/**
+ * Result of a submitted change. `conflict`: rows in `overlap` changed after the base revision.
+ * `pending`: not known yet; ask again with the same change id.
+ */
 export type ChangeOutcome =
   | { outcome: 'accepted'; revision: number }
   | { outcome: 'conflict'; revision: number; overlap: string[] }
   | { outcome: 'refused'; message: string }
   | { outcome: 'pending'; message: string }
 
-/** What must stand in the store for the write: taken from one read of head, snapshot and change id. */
+/** The stored state that acceptance is computed from: one read of head, snapshot and change id. */
 export interface AcceptanceBasis {
   table: Table
   /** Store version of the head row, 0 when there is none. */
@@ -47,9 +50,9 @@
 }
 
 /**
- * The transaction that accepts a change. Its commit is the instant of acceptance: before it nothing is
- * in force, after it the change is, whoever learns of it when. A change that touches no row that was
- * touched since its base is carried over to the newest revision; otherwise the operator is shown what stands.
+ * Builds the compare-and-swap transaction that accepts a change; its commit puts the change in
+ * force. A change whose rows are untouched since its base revision is rebased on the current one;
+ * otherwise the plan stops with a conflict. `wallTime` is in milliseconds since the Unix epoch.
  */
 export function planAcceptance(
   change: TableChange,
--- a/packages/decisions/src/table/parseTable.ts
+++ b/packages/decisions/src/table/parseTable.ts
@@ -12,7 +12,7 @@
 
 export type TableFormat = 'yaml' | 'csv'
 
-/** A row as written, with the line it stands on. */
+/** An unvalidated row with its line number. */
 interface WrittenRow {
   line: number
   fields: Record<string, unknown>
@@ -32,23 +32,25 @@
   'share',
 ])
 
-/** Reads a table file. Every issue names the line and the mend; with one issue nothing is taken. */
+/**
+ * Parses a table file. Each issue names the line and a fix; with any issue no rows are returned.
+ */
 export function parseTable(text: string, format: TableFormat): Result<TableRow[], InputIssue[]> {
   return READERS[format](text).andThen(validateRows)
 }
 
-/** Checks rows that came from anywhere: their fields, and that no two have one key. */
+/** Validates the fields of rows and the uniqueness of their keys. */
 export function validateRows(written: readonly WrittenRow[]): Result<TableRow[], InputIssue[]> {
   const issues: InputIssue[] = []
   const rows: TableRow[] = []
   const lineOfKey = new Map<string, number>()
   for (const { line, fields } of written) {
-    const checked = validateRow(fields, line)
-    if (checked.isErr) {
-      issues.push(...checked.error)
+    const validated = validateRow(fields, line)
+    if (validated.isErr) {
+      issues.push(...validated.error)
       continue
     }
-    const key = resolveRowKey(checked.value)
+    const key = resolveRowKey(validated.value)
     const earlier = lineOfKey.get(key)
     if (earlier !== undefined) {
       issues.push({
@@ -57,7 +59,7 @@
       })
     }
     lineOfKey.set(key, line)
-    rows.push(checked.value)
+    rows.push(validated.value)
   }
   return issues.length > 0 ? Result.err(issues) : Result.ok(rows)
 }
@@ -132,7 +134,7 @@
   }
 }
 
-/** Empty cells are left out; cells of number columns become numbers. */
+/** Omits empty cells and converts the cells of number columns. */
 function typedFields(record: Record<string, string>): Record<string, unknown> {
   return Object.fromEntries(
     Object.entries(record)
--- a/packages/decisions/src/table/resolveRights.ts
+++ b/packages/decisions/src/table/resolveRights.ts
@@ -26,27 +26,36 @@
   return { model: name.slice(0, at), version: name.slice(at + 1) }
 }
 
-/** What an organisation may do with a version. */
+/**
+ * An organisation's right to a version. `running-sessions`: existing sessions go on, new ones are
+ * refused. `withdrawn`: no work at all. `not-allowed`: no row grants it.
+ */
 export type VersionRight = 'new-work' | 'running-sessions' | 'withdrawn' | 'not-allowed'
 
-/** The table as requests ask it: indexed once for each revision. */
+/** A table revision indexed for lookups per request. */
 export interface Rights {
   revision: number
-  /** The rows that count for an organisation and model: its own, else those for every organisation. */
+  /**
+   * The rows for an organisation and model: its own if there are any, else those for every
+   * organisation.
+   */
   versionsOf(organisation: string, model: string): readonly VersionRow[]
   rightOf(organisation: string, version: ModelVersion): VersionRight
   modelsOf(organisation: string): readonly string[]
+  /** The organisation's limits, else those for every organisation, else the defaults. */
   limitOf(organisation: string): LimitRow
+  /** Models of the cascade for a kind of request, cheapest first. Undefined without a row. */
   stagesOf(organisation: string, kind: string): readonly string[] | undefined
+  /** The version's price, else its model's, else zero. */
   priceOf(version: ModelVersion): PriceRow
   allowsService(organisation: string, service: string): boolean
 }
 
-/** The limits of an organisation without a row. */
+/** Default limits, without a row. */
 const NO_LIMIT = limitRowSchema.parse({ row: 'limit' })
 const NO_VERSIONS: readonly VersionRow[] = []
 
-/** Indexes a table. Costs one pass over its rows; every question after that is a few map look-ups. */
+/** Indexes a table in one pass over its rows; lookups on the result take constant time. */
 export function resolveRights(table: Table): Rights {
   const versions = new Map<string, VersionRow[]>()
   const withdrawnForAll = new Set<string>()
@@ -89,7 +98,7 @@
     revision: table.revision,
     versionsOf,
     rightOf(organisation, wanted) {
-      // A withdrawal for every organisation holds also where an organisation has rows of its own.
+      // A withdrawal for every organisation overrides an organisation's own rows.
       if (withdrawnForAll.has(formatVersion(wanted))) return 'withdrawn'
       const row = versionsOf(organisation, wanted.model).find(row => row.version === wanted.version)
       if (!row) return 'not-allowed'
@@ -123,7 +132,7 @@
   }
 }
 
-/** What tokens cost at a price, in millionths of a currency unit. */
+/** Cost of the tokens used, in millionths of a currency unit. */
 export function costOf(
   price: PriceRow,
   usage: { promptTokens: number; completionTokens: number },
--- a/packages/decisions/src/table/table.ts
+++ b/packages/decisions/src/table/table.ts
@@ -1,37 +1,37 @@
 import { resolveRowKey, type TableRow } from './tableRow.js'
 
-/** The operators' intent at one revision. */
+/** The operators' configuration table at one revision, with rows by key. */
 export interface Table {
   revision: number
   rows: ReadonlyMap<string, TableRow>
 }
 
-/** What an operator asks for: rows to write and keys of rows to remove. */
+/** A change submitted by an operator: rows to write and keys of rows to remove. */
 export interface TableChange {
-  /** Chosen by the operator's program; makes a repeated submission the same change. */
+  /** Idempotency key, chosen by the submitting program. */
   changeId: string
   author: string
-  /** The revision that the operator looked at. */
+  /** The revision that the change was made against. */
   baseRevision: number
   upserts: TableRow[]
   removals: string[]
 }
 
-/** A change as it was accepted. */
+/** A change with the revision that accepted it. */
 export interface AcceptedChange extends TableChange {
   revision: number
-  /** Milliseconds since the Unix epoch at the box that wrote it; for people only. */
+  /** Milliseconds since the Unix epoch on the clock of the writing box; informational only. */
   acceptedAt: number
 }
 
 export const EMPTY_TABLE: Table = { revision: 0, rows: new Map() }
 
-/** A table of the given rows; of two rows with one key the later stands. */
+/** Creates a table; of rows with the same key the last wins. */
 export function createTable(revision: number, rows: readonly TableRow[]): Table {
   return { revision, rows: new Map(rows.map(row => [resolveRowKey(row), row])) }
 }
 
-/** The table after a change. */
+/** Returns the table after a change; removals are applied before upserts. */
 export function applyChange(table: Table, change: TableChange, revision: number): Table {
   const rows = new Map(table.rows)
   for (const key of change.removals) rows.delete(key)
@@ -39,18 +39,18 @@
   return { revision, rows }
 }
 
-/** The keys of the rows that a change touches. */
+/** Keys of the rows that a change removes or writes. */
 export function touchedKeys(change: TableChange): string[] {
   return [...change.removals, ...change.upserts.map(resolveRowKey)]
 }
 
-/** The rows of `change` that a later accepted change has touched as well. */
+/** Keys that both `change` and any of the later accepted changes touch. */
 export function findOverlap(change: TableChange, later: readonly AcceptedChange[]): string[] {
   const touchedLater = new Set(later.flatMap(touchedKeys))
   return touchedKeys(change).filter(key => touchedLater.has(key))
 }
 
-/** What turns `current` into `wanted`, row by row. */
+/** The upserts and removals that turn `current` into `wanted`. */
 export function diffTables(
   current: Table,
   wanted: readonly TableRow[],
--- a/packages/decisions/src/table/tableRow.ts
+++ b/packages/decisions/src/table/tableRow.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod'
 
-/** `*` in the organisation column stands for every organisation without a row of its own. */
+/** Organisation wildcard: the row applies to every organisation without a row of its own. */
 export const EVERY_ORGANISATION = '*'
 
 const name = z
@@ -15,15 +15,16 @@
 export type VersionState = (typeof VERSION_STATES)[number]
 
 export const CONCERNS = ['cost', 'latency', 'exposure'] as const
-/** What an organisation weighs most. */
+/** What an organisation optimises for. */
 export type Concern = (typeof CONCERNS)[number]
 
 export const PRIORITIES = ['low', 'normal', 'high'] as const
 export type Priority = (typeof PRIORITIES)[number]
 
 /**
- * Allows an organisation to use a version of a model. `weight` is the version's share of new sessions;
- * 0 keeps running sessions and takes no new ones. `withdrawn` takes no new work at all.
+ * Allows an organisation to use a version of a model. `weight` is the version's relative share of
+ * new sessions; 0 keeps running sessions and accepts no new ones. `withdrawn` accepts no work at
+ * all.
  */
 export const versionRowSchema = z.strictObject({
   row: z.literal('version'),
@@ -34,7 +35,7 @@
   state: z.enum(VERSION_STATES).default('active'),
 })
 
-/** What a version costs, in currency units per million tokens. */
+/** Price of a version, in currency units per million tokens. */
 export const priceRowSchema = z.strictObject({
   row: z.literal('price'),
   model: name,
@@ -43,22 +44,22 @@
   completionPrice: amount,
 })
 
-/** What an organisation may spend and ask, and what it weighs. */
+/** An organisation's spending and rate limits, objectives and priority. */
 export const limitRowSchema = z.strictObject({
   row: z.literal('limit'),
   organisation,
-  /** Currency units a day. */
+  /** Currency units per day. */
   spendPerDay: amount.optional(),
   requestsPerSecond: amount.optional(),
-  /** Share of answers that are to be good, 0 to 1. */
+  /** Target share of good answers, 0 to 1. */
   qualityTarget: z.number().min(0).max(1).default(0.9),
   weighs: z.enum(CONCERNS).default('cost'),
   priority: z.enum(PRIORITIES).default('normal'),
-  /** Share of a saturated pool, against the other organisations'. */
+  /** Fair-share weight in a saturated pool, relative to other organisations. */
   share: amount.default(1),
 })
 
-/** The models that may answer a kind of request, the cheapest first, written `small>large`. */
+/** The model cascade for a kind of request, cheapest first, written `small>large`. */
 export const cascadeRowSchema = z.strictObject({
   row: z.literal('cascade'),
   organisation,
@@ -69,7 +70,7 @@
     .max(256),
 })
 
-/** Allows an organisation to call a plain service. */
+/** Allows an organisation to call a service that isn't a model. */
 export const serviceRowSchema = z.strictObject({
   row: z.literal('service'),
   organisation,
@@ -110,12 +111,12 @@
   service: row => `service/${row.organisation}/${row.service}`,
 }
 
-/** The identity of a row: two rows with one key are versions of one row. */
+/** The key that identifies a row; a row written later replaces one with the same key. */
 export function resolveRowKey(row: TableRow): string {
   return (KEY_OF_ROW[row.row] as (row: TableRow) => string)(row)
 }
 
-/** Every column of the flat sheet, in the order in which it is written. */
+/** All columns of the CSV form, in order. */
 export const TABLE_COLUMNS = [
   'row',
   ...new Set(ROW_KINDS.flatMap(kind => Object.keys(ROW_SCHEMAS[kind].shape))),
--- a/packages/decisions/src/upstreams/chooseUpstream.ts
+++ b/packages/decisions/src/upstreams/chooseUpstream.ts
@@ -3,17 +3,18 @@
 import { predictFirstToken, predictLoad, type RequestOutlook } from './predictLoad.js'
 import { takesWork, type UpstreamView } from './upstreamView.js'
 
-/** What a strategy sees. */
+/** Input of a strategy. */
 export interface UpstreamChoice {
-  /** Upstreams that serve what is wanted; some may take no work. */
+  /** Upstreams that serve the requested model or service; some may not accept work. */
   pool: readonly UpstreamView[]
-  /** Upstreams that hold part of the prompt, the most likely first. */
+  /** Upstreams that likely have a prefix of the prompt cached, best match first. */
   affine: readonly UpstreamView[]
   request: RequestOutlook
+  /** Ids of upstreams not to choose. */
   excluded: ReadonlySet<string>
   now: Milliseconds
   random: Random
-  /** Counts choices, for strategies that go round. */
+  /** Number of earlier choices, for round-robin. */
   turn: number
 }
 
@@ -22,10 +23,10 @@
 
 export type UpstreamStrategy = (choice: UpstreamChoice) => UpstreamView | undefined
 
-/** Candidates that a choice looks at, however large the pool is. */
+/** Candidates scored per choice, which bounds its cost in large pools. */
 const SAMPLE_SIZE = 6
 
-/** The strategies among which an operator chooses in the settings. */
+/** Strategies by their names in the settings. */
 export const UPSTREAM_STRATEGIES: Record<UpstreamStrategyName, UpstreamStrategy> = {
   predicted: choice =>
     leastBy(sample(choice, SAMPLE_SIZE, choice.affine), view =>
@@ -35,13 +36,13 @@
   random: choice => sample(choice, 1)[0],
   'least-reported': choice =>
     leastBy(
-      choice.pool.filter(view => isOpen(choice, view)),
+      choice.pool.filter(view => isEligible(choice, view)),
       view => view.report.running + view.report.waiting,
     ),
   'two-choices': choice => leastBy(sample(choice, 2), view => predictLoad(view, choice.now)),
 }
 
-/** The upstream for a request, undefined when none takes work. */
+/** Chooses the upstream for a request; undefined when none accepts work. */
 export function chooseUpstream(
   strategy: UpstreamStrategyName,
   choice: UpstreamChoice,
@@ -49,21 +50,24 @@
   return UPSTREAM_STRATEGIES[strategy](choice)
 }
 
-/** Up to `size` open upstreams: the preferred ones first, the rest from a random place on. */
+/**
+ * Samples up to `size` eligible upstreams: at most two preferred ones, the rest at random. Falls
+ * back to a scan of the pool when random draws find none.
+ */
 function sample(
   choice: UpstreamChoice,
   size: number,
   preferred: readonly UpstreamView[] = [],
 ): UpstreamView[] {
-  const found = new Set(preferred.filter(view => isOpen(choice, view)).slice(0, 2))
+  const found = new Set(preferred.filter(view => isEligible(choice, view)).slice(0, 2))
   const { pool, random } = choice
   if (pool.length <= size) {
-    for (const view of pool) if (isOpen(choice, view)) found.add(view)
+    for (const view of pool) if (isEligible(choice, view)) found.add(view)
     return [...found]
   }
   for (let tries = 0; tries < size * 3 && found.size < size; tries++) {
     const view = pool[Math.floor(random() * pool.length)]!
-    if (isOpen(choice, view)) found.add(view)
+    if (isEligible(choice, view)) found.add(view)
   }
   if (found.size > 0) return [...found]
   const any = firstFrom(choice, Math.floor(random() * pool.length))
@@ -74,12 +78,12 @@
   const { pool } = choice
   for (let step = 0; step < pool.length; step++) {
     const view = pool[(start + step) % pool.length]!
-    if (isOpen(choice, view)) return view
+    if (isEligible(choice, view)) return view
   }
   return undefined
 }
 
-function isOpen(choice: UpstreamChoice, view: UpstreamView): boolean {
+function isEligible(choice: UpstreamChoice, view: UpstreamView): boolean {
   return !choice.excluded.has(view.id) && takesWork(view, choice.now)
 }
 
--- a/packages/decisions/src/upstreams/prefixMap.ts
+++ b/packages/decisions/src/upstreams/prefixMap.ts
@@ -1,14 +1,15 @@
 import { hash } from 'node:crypto'
 
-/** Characters of a prompt that one block of the map stands for; about 256 tokens. */
+/** Prompt characters per block; about `TOKENS_PER_BLOCK` tokens. */
 const BLOCK_CHARACTERS = 1_024
-const LARGEST_BLOCKS = 32
+const MAX_BLOCKS = 32
 const TOKENS_PER_BLOCK = 256
-const KEPT_HOLDERS = 4
+const MAX_HOLDERS = 4
 
 /**
- * Which upstreams likely hold which prompt prefixes: from what this box sent there, and from cache events,
- * which come late and with gaps. A wrong entry costs a prefill, never an answer.
+ * Bounded map from prompt prefix blocks to the upstreams that likely have them cached. Fed by this
+ * box's own requests and by cache events, which may be late or lost: a wrong entry only costs a
+ * prefill.
  */
 export class PrefixMap {
   readonly #holders = new Map<number, string[]>()
@@ -22,17 +23,17 @@
     return this.#holders.size
   }
 
-  /** Notes that an upstream holds the blocks from now on. */
+  /** Records that an upstream has the blocks cached, and marks them as recently used. */
   note(blocks: readonly number[], upstream: string): void {
     for (const block of blocks) {
       const others = (this.#holders.get(block) ?? []).filter(holder => holder !== upstream)
       this.#holders.delete(block)
-      this.#holders.set(block, [upstream, ...others].slice(0, KEPT_HOLDERS))
+      this.#holders.set(block, [upstream, ...others].slice(0, MAX_HOLDERS))
     }
     this.#evict()
   }
 
-  /** Notes that an upstream dropped a block. */
+  /** Records that an upstream evicted a block. */
   forget(block: number, upstream: string): void {
     const holders = this.#holders.get(block)
     if (holders)
@@ -42,7 +43,7 @@
       )
   }
 
-  /** Cached prompt tokens by upstream, for the longest run of blocks from the start. */
+  /** Cached prompt tokens by upstream: its longest run of blocks from the start of the prompt. */
   match(blocks: readonly number[]): Map<string, number> {
     const tokens = new Map<string, number>()
     for (const [index, block] of blocks.entries()) {
@@ -65,11 +66,11 @@
   }
 }
 
-/** The chained hashes of a prompt's blocks: equal hashes mean equal prompts up to there. */
+/** Chained hashes of a prompt's full blocks within a scope: equal hashes mean equal prefixes. */
 export function prefixBlocks(scope: string, prompt: string): number[] {
   const blocks: number[] = []
   let chained = hashBlock(scope, 0)
-  const count = Math.min(LARGEST_BLOCKS, Math.floor(prompt.length / BLOCK_CHARACTERS))
+  const count = Math.min(MAX_BLOCKS, Math.floor(prompt.length / BLOCK_CHARACTERS))
   for (let index = 0; index < count; index++) {
     const start = index * BLOCK_CHARACTERS
     chained = hashBlock(prompt.slice(start, start + BLOCK_CHARACTERS), chained)
@@ -78,7 +79,7 @@
   return blocks
 }
 
-/** 48 bits: a collision costs a prefill and nothing else. */
-function hashBlock(text: string, before: number): number {
-  return Number.parseInt(hash('md5', `${before}/${text}`).slice(0, 12), 16)
+/** 48-bit hash; a collision only costs a prefill. */
+function hashBlock(text: string, previous: number): number {
+  return Number.parseInt(hash('md5', `${previous}/${text}`).slice(0, 12), 16)
 }
--- a/packages/decisions/src/upstreams/upstreamView.ts
+++ b/packages/decisions/src/upstreams/upstreamView.ts
@@ -4,60 +4,62 @@
 export type UpstreamKind = 'engine' | 'service'
 export type UpstreamState = 'live' | 'leaving' | 'gone'
 
-/** A load report of an upstream, as of the instant it was made there. */
+/** A load report of an upstream, as of when the upstream made it. */
 export interface LoadReport {
-  /** On this box's clock: when the report was asked for, less its age. */
+  /** When it was made, on this box's clock: the time of the request less the report's age. */
   at: Milliseconds
   running: number
   waiting: number
 }
 
-/** What a box knows of one upstream. */
+/** State of one upstream as this box knows it. */
 export interface UpstreamView {
   id: string
   kind: UpstreamKind
   address: string
   dataCentre: string
   state: UpstreamState
-  /** `model@version` names that the upstream proved to run, or service names. */
+  /** `model@version` names that the upstream is verified to run, or service names. */
   serves: Set<string>
-  /** Requests that it works on at once before others wait. */
+  /** Requests that it processes concurrently; further ones queue. */
   slots: number
   report: LoadReport
-  /** Requests of this box under way there. */
+  /** This box's requests in flight there. */
   inFlight: number
-  /** Requests of other boxes under way there, as they last said. */
+  /** Other boxes' requests in flight there, by their last reports. */
   peersInFlight: number
-  /** This box's requests under way when the last report was made. */
+  /** This box's requests in flight when the last load report was made. */
   inFlightAtReport: number
-  /** Requests of others at reports, smoothed. */
-  usualOthers: number
-  /** Instants and counts of this box's requests under way, the latest last, back to the last report. */
+  /** Moving average of other boxes' requests at load reports. */
+  averageOthers: number
+  /** Changes of this box's in-flight count since the last load report, oldest first. */
   history: { at: Milliseconds; inFlight: number }[]
-  /** Smoothed first-token time with no queue, and time of a whole request. */
+  /** Moving average of the first-token time without queueing. */
   firstTokenMilliseconds: number
+  /** Moving average of the duration of a whole request. */
   requestMilliseconds: number
   health: UpstreamHealth
-  /** Until then it wants nothing from this box. */
+  /** End of the back-off that the upstream requested; `NO_REST` without one. */
   restUntil: Milliseconds
 }
 
-/** Whether an upstream gets work, by how its requests ended. */
+/** Circuit breaker state of an upstream, by the outcomes of its requests. */
 export interface UpstreamHealth {
   state: 'healthy' | 'ejected' | 'probing'
+  /** Consecutive failures. */
   failures: number
   ejectedUntil: Milliseconds
-  /** How often it was ejected without a success between. */
+  /** Ejections since the last success. */
   ejections: number
 }
 
-/** Failures in a row that eject an upstream. */
+/** Consecutive failures that eject an upstream. */
 const FAILURES_TO_EJECT = 3
-const FIRST_EJECTION: Milliseconds = 2_000
-const LONGEST_EJECTION: Milliseconds = 60_000
-const SMOOTHING = 0.1
-const OTHERS_SMOOTHING = 0.2
-const LONGEST_HISTORY = 256
+const BASE_EJECTION: Milliseconds = 2_000
+const MAX_EJECTION: Milliseconds = 60_000
+const EWMA_WEIGHT = 0.1
+const OTHERS_EWMA_WEIGHT = 0.2
+const MAX_HISTORY = 256
 
 export function createUpstreamView(
   known: Pick<UpstreamView, 'id' | 'kind' | 'address' | 'dataCentre' | 'slots'>,
@@ -70,7 +72,7 @@
     inFlight: 0,
     peersInFlight: 0,
     inFlightAtReport: 0,
-    usualOthers: 0,
+    averageOthers: 0,
     history: [],
     firstTokenMilliseconds: 200,
     requestMilliseconds: 2_000,
@@ -79,7 +81,10 @@
   }
 }
 
-/** Whether new work may go to the upstream. A probing one takes one request at a time. */
+/**
+ * Whether new work may go to the upstream. A probing one gets one request at a time. Moves an
+ * ejected upstream whose ejection has expired to `probing`.
+ */
 export function takesWork(view: UpstreamView, now: Milliseconds): boolean {
   if (view.state !== 'live' || now < view.restUntil) return false
   if (view.health.state === 'healthy') return true
@@ -99,24 +104,24 @@
   noteHistory(view, now)
 }
 
-/** Takes a report, which was made some time ago: it is compared with what this box had there then. */
+/** Applies a load report, compared with this box's in-flight count at the time it was made. */
 export function noteReport(view: UpstreamView, report: LoadReport): void {
   const later = view.history.findIndex(entry => entry.at > report.at)
   const known = later === -1 ? view.history.at(-1) : view.history[later - 1]
   view.inFlightAtReport = known?.inFlight ?? view.inFlightAtReport
   view.history = later === -1 ? view.history.slice(-1) : view.history.slice(Math.max(0, later - 1))
   view.report = report
-  view.usualOthers += OTHERS_SMOOTHING * (othersAtReport(view) - view.usualOthers)
+  view.averageOthers += OTHERS_EWMA_WEIGHT * (othersAtReport(view) - view.averageOthers)
 }
 
-/** Requests of other boxes at the upstream when it made its last report. */
+/** Other boxes' requests at the upstream when it made its last load report. */
 export function othersAtReport(view: UpstreamView): number {
   return Math.max(0, view.report.running + view.report.waiting - view.inFlightAtReport)
 }
 
 function noteHistory(view: UpstreamView, now: Milliseconds): void {
   view.history.push({ at: now, inFlight: view.inFlight })
-  if (view.history.length > LONGEST_HISTORY) view.history.shift()
+  if (view.history.length > MAX_HISTORY) view.history.shift()
 }
 
 export function noteFirstToken(
@@ -124,28 +129,34 @@
   waited: Milliseconds,
   expectedQueue: Milliseconds,
 ): void {
-  const own = Math.max(1, waited - expectedQueue)
-  view.firstTokenMilliseconds += SMOOTHING * (own - view.firstTokenMilliseconds)
+  const sample = Math.max(1, waited - expectedQueue)
+  view.firstTokenMilliseconds += EWMA_WEIGHT * (sample - view.firstTokenMilliseconds)
 }
 
-export function noteSuccess(view: UpstreamView, took: Milliseconds): void {
-  view.requestMilliseconds += SMOOTHING * (took - view.requestMilliseconds)
+export function noteSuccess(view: UpstreamView, duration: Milliseconds): void {
+  view.requestMilliseconds += EWMA_WEIGHT * (duration - view.requestMilliseconds)
   view.health = { state: 'healthy', failures: 0, ejectedUntil: 0, ejections: 0 }
 }
 
-/** It turned a request away and asked for rest, which is no failure: an ejection would spare it for longer than it asked. */
+/**
+ * Records a rejection with a requested back-off. Not counted as a failure, since an ejection could
+ * last longer than the back-off.
+ */
 export function noteAskedRest(view: UpstreamView, span: Milliseconds, now: Milliseconds): void {
   view.restUntil = restUntil(view.restUntil, span, now)
 }
 
-/** Counts a failure that is the upstream's own; enough in a row eject it, each time for longer. */
+/**
+ * Counts a failure caused by the upstream. Consecutive failures eject it, with exponential
+ * back-off.
+ */
 export function noteFailure(view: UpstreamView, now: Milliseconds): void {
   const health = view.health
   health.failures++
-  const isOut = health.state === 'probing' || health.failures >= FAILURES_TO_EJECT
-  if (!isOut) return
+  const shouldEject = health.state === 'probing' || health.failures >= FAILURES_TO_EJECT
+  if (!shouldEject) return
   health.state = 'ejected'
   health.ejections++
-  const span = Math.min(LONGEST_EJECTION, FIRST_EJECTION * 2 ** (health.ejections - 1))
-  health.ejectedUntil = now + span
+  const duration = Math.min(MAX_EJECTION, BASE_EJECTION * 2 ** (health.ejections - 1))
+  health.ejectedUntil = now + duration
 }
--- a/packages/decisions/test/placement.test.ts
+++ b/packages/decisions/test/placement.test.ts
@@ -12,8 +12,8 @@
   }))
 }
 
-/** Carries out one round of steps as engines would. */
-function carryOut(placed: PlacedEngine[], demands: VersionDemand[]): number {
+/** Plans one round and applies its steps. Returns the number of steps. */
+function applySteps(placed: PlacedEngine[], demands: VersionDemand[]): number {
   const steps = planPlacement(placed, demands, { parallelLoads: 2, missingShare: 0.25 })
   for (const step of steps) {
     const engine = placed.find(engine => engine.id === step.engine)!
@@ -34,18 +34,18 @@
   }
 }
 
-describe('placement', () => {
+describe('planPlacement', () => {
   const demands = [
     { version: 'm@1', engines: 4 },
     { version: 'm@2', engines: 4 },
   ]
 
-  it('moves half of the engines to a new version and never has more than a quarter missing', () => {
+  it('moves half of the engines to a new version with at most a quarter of them unavailable at once', () => {
     const placed = engines(8, ['m@1'])
     for (let round = 0; round < 40; round++) {
-      carryOut(placed, demands)
-      const missing = placed.filter(engine => engine.emptying || engine.loading !== undefined)
-      expect(missing.length).to.be.at.most(2)
+      applySteps(placed, demands)
+      const unavailable = placed.filter(engine => engine.emptying || engine.loading !== undefined)
+      expect(unavailable.length).to.be.at.most(2)
       finishLoads(placed)
     }
     const count = (version: string) =>
@@ -54,16 +54,16 @@
     expect(placed.some(engine => engine.emptying)).to.equal(false)
   })
 
-  it('unloads nothing from an engine that still has work', () => {
+  it('does not unload a version from an engine with requests in flight', () => {
     const placed = engines(4, ['m@1'])
-    carryOut(placed, demands)
-    const emptied = placed.filter(engine => engine.emptying)
-    for (const engine of emptied) engine.inFlight = 1
-    carryOut(placed, demands)
+    applySteps(placed, demands)
+    const draining = placed.filter(engine => engine.emptying)
+    for (const engine of draining) engine.inFlight = 1
+    applySteps(placed, demands)
     expect(placed.some(engine => engine.loading !== undefined)).to.equal(false)
   })
 
-  it('goes on with a roll-out that was cut off halfway, and does nothing when all is in place', () => {
+  it('continues an interrupted rollout and plans nothing once the demand is met', () => {
     const placed = [...engines(2, ['m@1']), ...engines(2, ['m@2'])].map((engine, index) => ({
       ...engine,
       id: `engine-${index}`,
--- a/packages/decisions/test/upstreams.test.ts
+++ b/packages/decisions/test/upstreams.test.ts
@@ -29,21 +29,21 @@
   return chooseUpstream('predicted', { pool, affine: [], request, excluded, now, random, turn: 0 })
 }
 
-describe('the load of an upstream', () => {
-  it('counts what was sent after a late report was made', () => {
+describe('predictLoad', () => {
+  it('counts requests sent after a delayed load report was made', () => {
     const view = viewOf('a')
     noteSent(view, 10)
     noteSent(view, 30)
     noteReport(view, { at: 20, running: 3, waiting: 0 })
-    // Two of the three at the report were others'; this box has two there now.
+    // Of the three reported, two were other boxes'; this box has two in flight now.
     expect(predictLoad(view, 20)).to.equal(4)
     noteEnded(view, 40)
     expect(predictLoad(view, 20)).to.equal(3)
   })
 })
 
-describe('the choice of an upstream', () => {
-  it('goes to the less loaded, and passes over the leaving and the excluded', () => {
+describe('the choice and ejection of upstreams', () => {
+  it('picks the least loaded upstream and skips leaving and excluded ones', () => {
     const [busy, idle, leaving] = [viewOf('busy'), viewOf('idle'), viewOf('leaving')]
     noteReport(busy, { at: 0, running: 4, waiting: 9 })
     leaving.state = 'leaving'
@@ -52,7 +52,7 @@
     expect(choose([leaving])).to.equal(undefined)
   })
 
-  it('ejects an upstream that fails again and again, and takes it back by one request at a time', () => {
+  it('ejects an upstream after three consecutive failures, then probes it with one request at a time', () => {
     const view = viewOf('a')
     for (let failures = 0; failures < 3; failures++) noteFailure(view, 0)
     expect(takesWork(view, 1_999)).to.equal(false)
@@ -67,7 +67,7 @@
 })
 
 describe('the prefix map', () => {
-  it('finds the longest run of blocks that an upstream holds', () => {
+  it('matches the longest prefix that each upstream has cached', () => {
     const map = new PrefixMap()
     const blocks = prefixBlocks('a', 'x'.repeat(1_024 * 3))
     map.note(blocks.slice(0, 2), 'engine-1')
@@ -78,7 +78,7 @@
     })
   })
 
-  it('keeps organisations apart and its size bounded', () => {
+  it('separates organisations and bounds its size', () => {
     const map = new PrefixMap(10)
     map.note(prefixBlocks('a', 'x'.repeat(1_024 * 20)), 'engine-1')
     expect(map.size).to.equal(10)
@@ -105,18 +105,18 @@
     deadline: 1_000,
   })
 
-  it('sheds a summary before a question and a question before a hold', () => {
-    const refused = (utilisation: number) => [
+  it('sheds low priority first, then normal priority, then calls', () => {
+    const shedAt = (utilisation: number) => [
       admit(request('low'), pool(utilisation), 0) !== undefined,
       admit(request('normal'), pool(utilisation), 0) !== undefined,
       admit(request('normal', true), pool(utilisation), 0) !== undefined,
     ]
-    expect(refused(1.05)).to.deep.equal([false, false, false])
-    expect(refused(1.12)).to.deep.equal([true, false, false])
-    expect(refused(1.4)).to.deep.equal([true, true, false])
+    expect(shedAt(1.05)).to.deep.equal([false, false, false])
+    expect(shedAt(1.12)).to.deep.equal([true, false, false])
+    expect(shedAt(1.4)).to.deep.equal([true, true, false])
   })
 
-  it('holds back the organisation that uses more than its share of a crowded pool', () => {
+  it('refuses an organisation that exceeds its share of a saturated pool, but not the others', () => {
     const uses = new Map([
       ['a', { inFlight: 30, share: 1 }],
       ['b', { inFlight: 5, share: 1 }],
@@ -127,14 +127,14 @@
     )
   })
 
-  it('refuses what cannot be answered in time, and says when to come back', () => {
+  it('refuses a request that would miss its deadline, with a retry delay', () => {
     const refusal = admit(request('normal'), { ...pool(0.5), firstToken: 2_000 }, 0)
     expect(refusal).to.include({ verdict: 'not-run', retryAfter: 1_000 })
   })
 })
 
 describe('the retry budget', () => {
-  it('lets at most a tenth of requests be sent again when all fail', () => {
+  it('limits retries to about a tenth of the requests when all fail', () => {
     const budget = createRetryBudget()
     let retries = 0
     for (let request = 0; request < 1_000; request++) {
