--- a/packages/decisions/src/listing/upstreamCandidate.ts
+++ b/packages/decisions/src/listing/upstreamCandidate.ts
@@ -8,9 +8,9 @@
   nameHash: number
   /** Requests in flight: this box's own, and those of others as the upstream reports them. */
   load: number
-  /** Estimated pending prefill time, over the prompts of all boxes. */
+  /** Estimated pending prefill time at its own pace, over the prompts of all boxes. */
   waiting: Milliseconds
-  /** Prefill time relative to other upstreams; 2 takes twice as long. */
+  /** Factor of its prefill times over the estimates; 2 takes twice as long. */
   slowness: number
   /** Ejected upstreams are used only when there is no other. */
   isEjected: boolean
--- a/packages/decisions/src/upstreams/upstreamView.ts
+++ b/packages/decisions/src/upstreams/upstreamView.ts
@@ -39,7 +39,7 @@
   /** Moving average of the duration of a whole request. */
   requestMilliseconds: number
   health: UpstreamHealth
-  /** End of the back-off that the upstream requested; `NO_REST` without one. */
+  /** End of the back-off that the upstream requested, if any. */
   restUntil: Milliseconds
 }
 
