--- a/packages/decisions/src/listing/pickUpstream.ts
+++ b/packages/decisions/src/listing/pickUpstream.ts
@@ -8,8 +8,8 @@
   random: Random
   prompt?: PromptWork
   /**
-   * Whether every box sends its pending work to every other box directly. Otherwise `waiting`
-   * covers this data centre's upstreams only, and lags by about 100 ms. Defaults to true.
+   * Whether every box sends its pending work to every other box directly. Otherwise that of others
+   * is known for this data centre only, and lags by about 100 ms. Defaults to true.
    */
   knowsFarWork?: boolean
   /** Size of the request body, transferred when the upstream is in another data centre. */
