--- a/packages/gateway/src/tasks/placeSuspects.ts
+++ b/packages/gateway/src/tasks/placeSuspects.ts
@@ -1,29 +1,32 @@
 import { ALONE_FROM, type TrialsAt } from '@yewkeel/box'
 import type { Upstream } from '../types/upstream.js'
 
-/** Upstreams that are kept free for suspects, as a part of those that could take a request. */
-const MOST_RESERVED_PART = 0.25
+/** Maximum share of the candidates that is reserved for suspects. */
+const MAX_RESERVED_SHARE = 0.25
 
 /**
- * Upstreams at which a request may be placed while suspects are tried. A suspect stays away from other suspects, so that a crash speaks against one
- * of them; from the second crash on it goes where it harms the fewest. Other requests stay away from those upstreams, as
- * long as that leaves most of them.
+ * Filters the candidates of a request so that crash suspects, requests under which an upstream
+ * crashed, are tried apart. A suspect avoids upstreams that run other suspects, so that a crash
+ * implicates one of them; from `ALONE_FROM` crashes on it goes to the least loaded of the rest.
+ * Other requests avoid reserved upstreams, unless too many are reserved.
  */
-export function placeSuspects(
+export function isolateSuspects(
   candidates: readonly Upstream[],
   crashes: number,
   trials: TrialsAt,
 ): readonly Upstream[] {
-  if (crashes === 0) return trials.size === 0 ? candidates : leaveReserved(candidates, trials)
-  const least = Math.min(...candidates.map(({ run }) => trials.get(run)?.count ?? 0))
-  const apart = candidates.filter(({ run }) => (trials.get(run)?.count ?? 0) === least)
-  if (crashes < ALONE_FROM) return apart
-  const fewest = Math.min(...apart.map(({ load }) => load))
-  return apart.filter(({ load }) => load === fewest)
+  if (crashes === 0) return trials.size === 0 ? candidates : withoutReserved(candidates, trials)
+  const fewestSuspects = Math.min(...candidates.map(({ run }) => trials.get(run)?.count ?? 0))
+  const leastSuspected = candidates.filter(
+    ({ run }) => (trials.get(run)?.count ?? 0) === fewestSuspects,
+  )
+  if (crashes < ALONE_FROM) return leastSuspected
+  const lowestLoad = Math.min(...leastSuspected.map(({ load }) => load))
+  return leastSuspected.filter(({ load }) => load === lowestLoad)
 }
 
-function leaveReserved(candidates: readonly Upstream[], trials: TrialsAt): readonly Upstream[] {
+function withoutReserved(candidates: readonly Upstream[], trials: TrialsAt): readonly Upstream[] {
   const free = candidates.filter(({ run }) => !trials.get(run)?.isReserved)
   const reserved = candidates.length - free.length
-  return reserved <= MOST_RESERVED_PART * candidates.length ? free : candidates
+  return reserved <= MAX_RESERVED_SHARE * candidates.length ? free : candidates
 }
--- a/packages/gateway/src/tasks/rolloutTask.ts
+++ b/packages/gateway/src/tasks/rolloutTask.ts
@@ -29,50 +29,53 @@
   log: EventLog
   store: Store
   upstreams: UpstreamDirectory
-  /** This box's place among the boxes that may lead; 0 leads, the others step in later. */
+  /** This box's rank among the boxes that may write statuses; 0 is the leader. */
   rank(): number
-  /** Answers that all boxes have seen, this one's among them. */
+  /** Answer counts of all boxes, including this one. */
   allAnswers(): readonly BoxAnswers[]
-  /** The part of a service's requests that a bad version may get. */
+  /** Maximum share of a service's requests that a bad version may receive. */
   exposureLimit(): ExposureLimit
-  /** This box has come to hold a version to be bad, or has been told so. */
+  /** Called when this box finds a version bad or receives such a verdict. */
   onVerdict(): void
-  /** A version on trial gave a bad answer. */
+  /** Called on each bad answer of a version on trial. */
   onBadAnswer(): void
 }
 
 /**
- * A box steps in for the one before it in rank when nothing has come of a decision for this long: some ten times a
- * write and its news take. Two that write at once do no harm, since the row's version admits one.
+ * Takeover delay per rank while a status change is not written, longer than a write and its gossip.
+ * Concurrent writes are safe: the row's revision is compared and swapped.
  */
-const STEP_IN_AFTER: Milliseconds = 250
+const TAKEOVER_DELAY: Milliseconds = 250
 
-const LOG_EVIDENCE_EVERY: Milliseconds = 1_000
+const EVIDENCE_LOG_INTERVAL: Milliseconds = 1_000
 
-/** A verdict of the boxes on the target of an order, before the store has it. */
+/** States that the boxes found the target of an order bad; may precede the store's status. */
 export interface Verdict {
   service: string
-  /** Of the order. */
+  /** Revision of the order. */
   revision: number
 }
 
-/** Follows the operators' orders to change versions: shares, evidence, and the state that is written back. */
+/**
+ * Executes the operators' rollout orders: draws versions for requests, gathers evidence and writes
+ * rollout statuses to the store.
+ */
 export class RolloutTask {
   #orders: readonly RolloutOrder[] = []
   readonly #statuses = new Map<string, RolloutStatus>()
   #storeOffset: Milliseconds | undefined
-  /** The judge of the versions that are rolled out. */
+  /** Judges the versions that are rolled out. */
   readonly judge: VersionJudge
-  /** When this box first read an order, by service, on the store's clock. */
+  /** Store time at which this box first read the order, by service. */
   readonly #orderedAt = new Map<string, Milliseconds>()
-  /** Revisions of the orders, by service, whose target the boxes hold to be bad. */
-  readonly #condemned = new Map<string, number>()
+  /** Revision of the order whose target was found bad, by service. */
+  readonly #badTargets = new Map<string, number>()
   #evidenceLoggedAt = -Infinity
-  /** Services whose target has come through its trial rather badly. */
-  readonly #doubted = new Set<string>()
-  /** Rises when requests under way have to look anew which versions they may run on. */
-  #beliefs = 0
-  /** Versions in use before any order named them. */
+  /** Services whose target ended its trial with unfavourable evidence. */
+  readonly #doubtfulServices = new Set<string>()
+  /** Incremented when running requests must draw their versions again. */
+  #admissionRevision = 0
+  /** Versions by service that served before any order. */
   readonly #established = new Map<string, Set<string>>()
   readonly #pendingSince = new Map<string, Milliseconds>()
   readonly #writing = new Set<string>()
@@ -88,30 +91,30 @@
     return [...this.#statuses.values()]
   }
 
-  /** The store's clock now, as far as this box knows it. */
+  /** Estimated time on the store's clock; undefined before its first answer. */
   get storeNow(): Milliseconds | undefined {
     return this.#storeOffset === undefined
       ? undefined
       : this.options.clock.now() + this.#storeOffset
   }
 
-  /** What this box tells the others of answers: nothing while no version is rolled out. */
+  /** This box's answer counts for gossip; empty without a rollout under way. */
   get answers(): AnswerCount[] {
     return this.isUnderWay ? this.judge.counts : []
   }
 
-  /** Verdicts that the store may not have yet. */
+  /** Verdicts for gossip, including those that the store may not have yet. */
   get verdicts(): Verdict[] {
-    return [...this.#condemned].map(([service, revision]) => ({ service, revision }))
+    return [...this.#badTargets].map(([service, revision]) => ({ service, revision }))
   }
 
-  /** A version is rolled out and may still be rolled back. */
+  /** Whether the version is being rolled out and may still be rolled back. */
   isOnTrial(service: string, version: string): boolean {
     const order = this.#orderOf(service)
     return order?.target === version && !isOver(order, this.#statuses.get(service))
   }
 
-  /** The target of a roll-out that is under way, and its share now. */
+  /** The target of the current rollout of a service and its share of requests now. */
   trialOf(service: string): VersionTrial | undefined {
     const order = this.#orderOf(service)
     const { storeNow } = this
@@ -123,24 +126,27 @@
     return this.#orders.find(entry => entry.service === service)
   }
 
-  /** Nothing goes to a version that the boxes hold to be bad, whether or not the store has that yet. */
+  /** The target's share now; 0 once it is found bad, even if the store does not have that yet. */
   #shareOf(order: RolloutOrder, storeNow: Milliseconds): number {
     const status = this.#statuses.get(order.service)
-    if (this.#isCondemned(order) && !isOver(order, status)) return 0
-    const isDoubted = this.#doubted.has(order.service)
+    if (this.#isMarkedBad(order) && !isOver(order, status)) return 0
+    const isDoubted = this.#doubtfulServices.has(order.service)
     return targetShare(order, status, storeNow, this.options.exposureLimit(), isDoubted)
   }
 
-  #isCondemned({ service, revision }: RolloutOrder): boolean {
-    return this.#condemned.get(service) === revision
+  #isMarkedBad({ service, revision }: RolloutOrder): boolean {
+    return this.#badTargets.get(service) === revision
   }
 
-  /** Some order has not come to its end. */
+  /** Whether some order is neither completed nor rolled back. */
   get isUnderWay(): boolean {
     return this.#orders.some(order => !isOver(order, this.#statuses.get(order.service)))
   }
 
-  /** Learns the store's clock; an answer can only be late, so the largest offset is nearest. */
+  /**
+   * Updates the offset to the store's clock. Latency only reduces an observed offset, so the
+   * largest is the best estimate.
+   */
   noteStoreClock(storeNow: Milliseconds, at: Milliseconds): void {
     if (!Number.isFinite(storeNow)) return
     const offset = storeNow - at
@@ -148,20 +154,20 @@
   }
 
   takeOrders(orders: readonly RolloutOrder[]): void {
-    if (orders.length !== this.#orders.length) this.#beliefs++
+    if (orders.length !== this.#orders.length) this.#admissionRevision++
     for (const order of orders) {
       if (this.#orderOf(order.service)?.revision === order.revision) continue
       this.judge.forget(order.service)
       this.#orderedAt.delete(order.service)
-      this.#doubted.delete(order.service)
-      this.#beliefs++
+      this.#doubtfulServices.delete(order.service)
+      this.#admissionRevision++
       this.options.log.note('rollout-ordered', { ...order })
     }
     this.#orders = orders
-    this.#noteOrderTimes()
+    this.#recordOrderTimes()
   }
 
-  #noteOrderTimes(): void {
+  #recordOrderTimes(): void {
     const { storeNow } = this
     if (storeNow === undefined) return
     for (const { service } of this.#orders)
@@ -173,24 +179,24 @@
       const known = this.#statuses.get(status.service)
       if (known && known.revision >= status.revision) continue
       this.#statuses.set(status.service, status)
-      this.#beliefs++
+      this.#admissionRevision++
       this.#pendingSince.delete(status.service)
       this.options.log.note('rollout-status', { ...status })
     }
   }
 
-  /** Another box holds the target of an order to be bad. */
+  /** Applies verdicts of other boxes that match the current orders. */
   takeVerdicts(verdicts: readonly Verdict[]): void {
     for (const { service, revision } of verdicts) {
       const order = this.#orderOf(service)
-      if (order?.revision === revision) this.#condemn(order, 'told')
+      if (order?.revision === revision) this.#markBad(order, 'told')
     }
   }
 
-  #condemn(order: RolloutOrder, why: VersionFault | 'told'): void {
-    if (this.#isCondemned(order)) return
-    this.#condemned.set(order.service, order.revision)
-    this.#beliefs++
+  #markBad(order: RolloutOrder, why: VersionFault | 'told'): void {
+    if (this.#isMarkedBad(order)) return
+    this.#badTargets.set(order.service, order.revision)
+    this.#admissionRevision++
     const { service, target } = order
     const { storeNow } = this
     const startedAt = this.#statuses.get(service)?.startedAt
@@ -201,23 +207,23 @@
   }
 
   /**
-   * Whether a request may run on each version of a service. Drawn once, so that all of its tries agree, and again only when a
-   * version is completed or rolled back: tries and resumed streams of requests that began before then went to a bad version for
-   * as long as the longest of them.
+   * Returns a predicate of the versions that a request may run on. The draw is kept so that all
+   * tries agree, and repeated after a change of orders, statuses or verdicts, so that running
+   * requests leave a bad version.
    */
   admission(service: string, session: string | undefined): (version: string) => boolean {
-    let drawnFor = this.#beliefs
-    let drawn = this.#draw(service, session)
+    let drawnAtRevision = this.#admissionRevision
+    let drawn = this.#drawAdmission(service, session)
     return version => {
-      if (drawnFor !== this.#beliefs) {
-        drawnFor = this.#beliefs
-        drawn = this.#draw(service, session)
+      if (drawnAtRevision !== this.#admissionRevision) {
+        drawnAtRevision = this.#admissionRevision
+        drawn = this.#drawAdmission(service, session)
       }
       return drawn(version)
     }
   }
 
-  #draw(service: string, session: string | undefined): (version: string) => boolean {
+  #drawAdmission(service: string, session: string | undefined): (version: string) => boolean {
     const order = this.#orderOf(service)
     if (!order) return this.#admitEstablished(service)
     const status = this.#statuses.get(service)
@@ -233,10 +239,12 @@
     const others = [...versions.keys()].filter(version => version !== order.target)
     const hasOthers = others.length > 0
     const isCompleted = status && isOf(status, order) && status.state === 'completed'
-    // A session keeps its version; other requests need not wait while the target's upstreams are in need.
-    const mayPass = isTarget && session === undefined && hasOthers && !isCompleted
-    const isOpen = !mayPass || this.options.upstreams.takesNow(service, order.target)
-    const hasTarget = versions.has(order.target) && isOpen
+    // Sessions keep their version; other requests use another version while the target's upstreams
+    // are throttled.
+    const mayFallBack = isTarget && session === undefined && hasOthers && !isCompleted
+    const isTargetAvailable =
+      !mayFallBack || this.options.upstreams.canSendTo(service, order.target)
+    const hasTarget = versions.has(order.target) && isTargetAvailable
     const rejected = rejectedVersions(status, order)
     if (isTarget ? hasTarget : !hasOthers && shares.share > 0)
       return version => version === order.target
@@ -244,7 +252,7 @@
     return withoutRejected(rejected, version => version !== order.target, versions.keys())
   }
 
-  /** A version that came up without an order waits for one, as long as an established one serves. */
+  /** Without an order, admits only established versions as long as one of them is ready. */
   #admitEstablished(service: string): (version: string) => boolean {
     const versions = this.options.upstreams.readyVersions(service)
     const established = this.#established.get(service) ?? new Set(versions.keys())
@@ -255,50 +263,50 @@
     return withoutRejected(rejected, version => established.has(version), versions.keys())
   }
 
-  /** Looks at every order and writes what follows. */
+  /** Evaluates every order and writes the resulting statuses. */
   tick(): void {
     const { storeNow } = this
     if (storeNow === undefined) return
-    this.#noteOrderTimes()
-    for (const order of this.#orders) this.#follow(order, storeNow)
+    this.#recordOrderTimes()
+    for (const order of this.#orders) this.#advance(order, storeNow)
   }
 
-  #follow(order: RolloutOrder, storeNow: Milliseconds): void {
+  #advance(order: RolloutOrder, storeNow: Milliseconds): void {
     const status = this.#statuses.get(order.service)
     const versions = this.options.upstreams.readyVersions(order.service)
     const targetUpstreams = versions.get(order.target) ?? 0
     if (this.isOnTrial(order.service, order.target)) {
-      this.#judge(order, targetUpstreams)
-      if (status) this.#weigh(order, status, targetUpstreams, storeNow)
+      this.#judgeTarget(order, targetUpstreams)
+      if (status) this.#assessTrial(order, status, targetUpstreams, storeNow)
     }
     const next = decideRollout({
       order,
       ...(status && { status }),
       storeNow,
       targetUpstreams,
-      isTargetBad: this.#isCondemned(order),
-      isTargetDoubted: this.#doubted.has(order.service),
+      isTargetBad: this.#isMarkedBad(order),
+      isTargetDoubted: this.#doubtfulServices.has(order.service),
       limit: this.options.exposureLimit(),
     })
     if (next === undefined) {
       this.#pendingSince.delete(order.service)
       return
     }
-    if (!this.#isMyTurn(order.service)) return
-    void this.#write(order, next, status, storeNow)
+    if (!this.#mayWrite(order.service)) return
+    void this.#writeStatus(order, next, status, storeNow)
   }
 
-  #judge(order: RolloutOrder, targetUpstreams: number): void {
+  #judgeTarget(order: RolloutOrder, targetUpstreams: number): void {
     const { service, target } = order
-    const told = this.options.allAnswers()
+    const reports = this.options.allAnswers()
     const now = this.options.clock.now()
-    const fault = this.judge.judge(service, target, targetUpstreams, told, now)
-    if (fault) this.#condemn(order, fault)
+    const fault = this.judge.judge(service, target, targetUpstreams, reports, now)
+    if (fault) this.#markBad(order, fault)
     if (this.options.rank() === 0) this.#logEvidence(order, now)
   }
 
-  /** When the trial is over, what it has shown decides whether the target gets all requests, and is completed. */
-  #weigh(
+  /** Decides after the trial whether the evidence allows the target all requests and completion. */
+  #assessTrial(
     order: RolloutOrder,
     status: RolloutStatus,
     targetUpstreams: number,
@@ -307,16 +315,16 @@
     const { service, target } = order
     if (!isOf(status, order)) return
     if (!isTrialOver(order, status, storeNow, this.options.exposureLimit())) return
-    const doubt = this.judge.doubt(service, target, targetUpstreams)
-    if (doubt && !this.#doubted.has(service))
+    const doubt = this.judge.findDoubt(service, target, targetUpstreams)
+    if (doubt && !this.#doubtfulServices.has(service))
       this.options.log.note('version-doubted', { service, target, why: doubt })
-    if (doubt) this.#doubted.add(service)
-    else this.#doubted.delete(service)
+    if (doubt) this.#doubtfulServices.add(service)
+    else this.#doubtfulServices.delete(service)
   }
 
-  /** One box of all writes down what a roll-out has shown so far. */
+  /** Logs the evidence on a rollout; called on the leader only. */
   #logEvidence(order: RolloutOrder, now: Milliseconds): void {
-    if (now - this.#evidenceLoggedAt < LOG_EVIDENCE_EVERY) return
+    if (now - this.#evidenceLoggedAt < EVIDENCE_LOG_INTERVAL) return
     this.#evidenceLoggedAt = now
     const { service, target } = order
     const share = this.trialOf(service)?.share
@@ -324,15 +332,18 @@
     this.options.log.note('version-evidence', { service, target, share, ...evidence })
   }
 
-  /** Whoever leads writes at once, the others after a while. Nothing is sent to a bad version meanwhile. */
-  #isMyTurn(service: string): boolean {
+  /**
+   * Whether this box may write: the leader at once, others after a delay by rank. Meanwhile a bad
+   * version receives no requests.
+   */
+  #mayWrite(service: string): boolean {
     const now = this.options.clock.now()
     const since = this.#pendingSince.get(service) ?? now
     this.#pendingSince.set(service, since)
-    return now - since >= this.options.rank() * STEP_IN_AFTER
+    return now - since >= this.options.rank() * TAKEOVER_DELAY
   }
 
-  async #write(
+  async #writeStatus(
     order: RolloutOrder,
     state: RolloutState,
     status: RolloutStatus | undefined,
--- a/packages/gateway/src/tasks/sendBudget.ts
+++ b/packages/gateway/src/tasks/sendBudget.ts
@@ -18,129 +18,130 @@
 
 export interface SendBudgetOptions {
   clock: Clock
-  /** This box's name. */
   self: string
-  /** How upstreams of a service are after their start; undefined where they bear as much as later. */
+  /** The cold-start limit of a service; undefined where its upstreams start at full capacity. */
   startOf(service: string): ColdStart | undefined
-  /** What a cold upstream may get beyond what it bears. */
+  /** How far the rate of a cold upstream may exceed its cold-start limit. */
   overage(): GatewayLimits['coldOverage']
-  /** Rises with each change of the boxes. */
+  /** Increases with each change of `boxes()`. */
   boxesVersion(): number
-  /** The boxes that are entered, this one among them; none until the entries are known. */
+  /** The registered boxes, including this one; empty until the registry has been read. */
   boxes(): readonly BoxPlace[]
-  /** How many those are; 0 until the entries are known. */
+  /** Number of registered boxes; 0 until the registry has been read. */
   boxCount(): number
-  /** How many upstreams name a limit. */
+  /** Number of listed upstreams that advertise a rate limit. */
   limited(): number
-  /** Whether other boxes were heard of a moment ago. */
+  /** Whether this box has received recent gossip from other boxes. */
   hearsOthers(): boolean
 }
 
-/** What may hold an upstream's requests back. */
+/** Reasons to throttle requests to an upstream. */
 const BUDGET_SOURCES = ['cold', 'limit', 'rest'] as const
 export type BudgetSource = (typeof BUDGET_SOURCES)[number]
-/** Of these all boxes together keep to a rate. */
+/** Sources whose rate is shared by all boxes. */
 type SharedSource = Exclude<BudgetSource, 'rest'>
 
-/** A rate, and which boxes keep to it now. */
+/** A shared rate and the index of the sender group that may use it now. */
 interface SharedRate extends RateShare {
   turn: number
 }
 
-/** When this box may next send to an upstream, and how often from then on. */
-interface Opening {
-  /** Infinite where only others send. */
+/** When and how often this box may send to an upstream. */
+interface SendSchedule {
+  /** When the next request may be sent; infinite where this box is not a sender. */
   at: Milliseconds
   interval: Milliseconds
-  /** How long it takes until the upstream takes a request from any box, as far as that is known. */
+  /** Estimated time until the upstream accepts a request from any box. */
   reopensIn: Milliseconds
 }
 
-/** The boxes that send to an upstream, as of one version of the boxes. */
-interface Drawn {
+/** Whether this box is a sender; cached until the boxes, the rate or the sender group change. */
+interface SenderSelection {
   key: string
   isSender: boolean
 }
 
-/**
- * An upstream writes its entry every 1.2 s, the list is read as often, and what changed is told within half a second: with this,
- * a cold start of 3 s lasts until the entry has spoken.
- */
-const ENTRY_LAG: Milliseconds = 1_000
-/** How often a box sends to a limited upstream while it does not know how many boxes share the limit. */
-const ALONE: RateShare = { senders: 1, burst: 1, interval: 10_000 }
+/** Covers the delay until the list shows the new state of an upstream that was away. */
+const ENTRY_UPDATE_DELAY: Milliseconds = 1_000
+/** Rate at a limited upstream while the number of boxes that share the limit is unknown. */
+const UNKNOWN_BOXES_RATE: RateShare = { senders: 1, burst: 1, interval: 10_000 }
 
 /**
- * How many requests this box may send to an upstream now, whatever holds them back: of several sources the least counts.
+ * Limits the rate at which this box sends to each upstream. Where several limits apply, the
+ * strictest counts.
  */
 export class SendBudget {
-  readonly #drawn: Record<SharedSource, WeakMap<Upstream, Drawn>> = {
+  readonly #selections: Record<SharedSource, WeakMap<Upstream, SenderSelection>> = {
     cold: new WeakMap(),
     limit: new WeakMap(),
   }
 
   readonly #sources: Record<
     BudgetSource,
-    (upstream: Upstream, now: Milliseconds) => Opening | undefined
+    (upstream: Upstream, now: Milliseconds) => SendSchedule | undefined
   > = {
-    cold: (upstream, now) => this.#shared('cold', upstream, this.#coldRate(upstream, now)),
-    limit: (upstream, now) => this.#shared('limit', upstream, this.#limitRate(upstream, now)),
-    rest: (upstream, now) => openingAfterRest(upstream, now),
+    cold: (upstream, now) => this.#sharedSchedule('cold', upstream, this.#coldRate(upstream, now)),
+    limit: (upstream, now) =>
+      this.#sharedSchedule('limit', upstream, this.#limitRate(upstream, now)),
+    rest: (upstream, now) => scheduleAfterBackOff(upstream, now),
   }
 
   constructor(private readonly options: SendBudgetOptions) {}
 
-  /** Whether the upstream may be sent a request now. The caller reads the clock once for all that it compares. */
+  /**
+   * Whether a request may be sent now. `now` is a parameter so that one decision uses one clock
+   * reading.
+   */
   admits(upstream: Upstream, now: Milliseconds): boolean {
-    const opening = this.#openingOf(upstream, now)
-    return opening === undefined || opening.at <= now
+    const schedule = this.#scheduleFor(upstream, now)
+    return schedule === undefined || schedule.at <= now
   }
 
-  /** What holds requests back there now. */
-  holds(upstream: Upstream, now: Milliseconds): BudgetSource[] {
+  /** The sources that throttle the upstream now. */
+  activeSources(upstream: Upstream, now: Milliseconds): BudgetSource[] {
     return BUDGET_SOURCES.filter(source => this.#sources[source](upstream, now) !== undefined)
   }
 
-  /** Whether something holds requests back there, though one may be sent now. */
-  isHeld(upstream: Upstream, now: Milliseconds): boolean {
-    return this.#openingOf(upstream, now) !== undefined
+  /** Whether any source throttles the upstream, even if a request may be sent now. */
+  isThrottled(upstream: Upstream, now: Milliseconds): boolean {
+    return this.#scheduleFor(upstream, now) !== undefined
   }
 
-  /** How many requests this box may send there from now until a moment; infinite where nothing holds them back. */
-  openings(upstream: Upstream, now: Milliseconds, until: Milliseconds): number {
-    const opening = this.#openingOf(upstream, now)
-    if (!opening) return Infinity
-    const at = Math.max(now, opening.at)
-    return at > until ? 0 : 1 + Math.floor((until - at) / opening.interval)
+  /** Number of requests this box may send from `now` to `until`; infinite without a limit. */
+  allowedSends(upstream: Upstream, now: Milliseconds, until: Milliseconds): number {
+    const schedule = this.#scheduleFor(upstream, now)
+    if (!schedule) return Infinity
+    const at = Math.max(now, schedule.at)
+    return at > until ? 0 : 1 + Math.floor((until - at) / schedule.interval)
   }
 
-  /** How long it takes until the upstream takes a request from any box; 0 where nothing holds them back. */
+  /** Estimated time until the upstream accepts a request from any box; 0 without a limit. */
   reopensIn(upstream: Upstream, now: Milliseconds): Milliseconds {
-    return this.#openingOf(upstream, now)?.reopensIn ?? 0
+    return this.#scheduleFor(upstream, now)?.reopensIn ?? 0
   }
 
-  /** It was away, and may be cold although its newest entry does not say so. */
+  /** Treats an upstream that was away as cold, even if its newest entry does not say so. */
   suspectCold(upstream: Upstream): void {
     const start = this.options.startOf(upstream.listed.service)
     if (!start) return
-    const until = this.options.clock.now() + start.lasts + ENTRY_LAG
+    const until = this.options.clock.now() + start.lasts + ENTRY_UPDATE_DELAY
     upstream.coldUntil = Math.max(upstream.coldUntil, until)
   }
 
-  #openingOf(upstream: Upstream, now: Milliseconds): Opening | undefined {
-    let latest: Opening | undefined
+  #scheduleFor(upstream: Upstream, now: Milliseconds): SendSchedule | undefined {
+    let combined: SendSchedule | undefined
     for (const source of BUDGET_SOURCES) {
-      const opening = this.#sources[source](upstream, now)
-      if (opening) latest = latest ? laterOf(latest, opening) : opening
+      const schedule = this.#sources[source](upstream, now)
+      if (schedule) combined = combined ? combineSchedules(combined, schedule) : schedule
     }
-    return latest
+    return combined
   }
 
-  #shared(
+  #sharedSchedule(
     source: SharedSource,
     upstream: Upstream,
     rate: SharedRate | undefined,
-  ): Opening | undefined {
+  ): SendSchedule | undefined {
     if (!rate) return undefined
     const { interval, senders } = rate
     const isSender = this.#isSender(source, upstream, rate)
@@ -148,7 +149,7 @@
     return { at, interval, reopensIn: interval / senders }
   }
 
-  /** Undefined while it is warm. */
+  /** The rate during a cold start; undefined once the upstream is warm. */
   #coldRate(upstream: Upstream, now: Milliseconds): SharedRate | undefined {
     if (now >= upstream.coldUntil) return undefined
     const start = this.options.startOf(upstream.listed.service)
@@ -159,16 +160,18 @@
   }
 
   /**
-   * The limit is for all boxes together, and none asks the others before it sends: the part of each follows from the boxes that are
-   * entered, which do not change when one is cut off or starts again. A limit that falls counts from the requests already sent.
+   * An upstream's limit covers all boxes, which split it without coordination: each share follows
+   * from the number of registered boxes, which does not change when one is partitioned or restarts.
+   * A lower limit also counts requests already sent.
    */
   #limitRate({ said: { limit } }: Upstream, now: Milliseconds): SharedRate | undefined {
     const perSecond = limit && limitNow(limit, now)
     if (!limit || perSecond === undefined) return undefined
     const { boxCount, hearsOthers, limited } = this.options
     const count = boxCount()
-    const share = count === 0 ? ALONE : limitShareOf(perSecond, count)
-    // To a box that is cut off from the others their silence says nothing.
+    const share = count === 0 ? UNKNOWN_BOXES_RATE : limitShareOf(perSecond, count)
+    // While partitioned, this box cannot see whether the current senders are idle: keep the known
+    // turn.
     return { ...share, turn: hearsOthers() ? limitTurn(limit, limited(), now) : limit.turn }
   }
 
@@ -176,28 +179,32 @@
     const { self, boxesVersion, boxes } = this.options
     const { senders, turn } = rate
     const key = `${boxesVersion()} ${senders} ${turn}`
-    const drawn = this.#drawn[source]
-    const known = drawn.get(upstream)
+    const selections = this.#selections[source]
+    const known = selections.get(upstream)
     if (known?.key === key) return known.isSender
     const places = boxes()
     const { nameHash, listed } = upstream
     const ranked = sendersOf({ nameHash, dataCentre: listed.dataCentre, turn }, places, rate)
-    // Whoever knows no other box can't tell who sends; a cold upstream has others to wait for.
-    const isAlone = source === 'limit' && places.length === 0
-    const isSender = isAlone || ranked.some(({ box }) => box === self)
-    drawn.set(upstream, { key, isSender })
+    // Without known boxes no sender can be selected: a limited upstream may then be sent to, a cold
+    // one waits for the list.
+    const isUnassigned = source === 'limit' && places.length === 0
+    const isSender = isUnassigned || ranked.some(({ box }) => box === self)
+    selections.set(upstream, { key, isSender })
     return isSender
   }
 }
 
-/** The upstream asked this box alone. */
-function openingAfterRest({ said, sentAt }: Upstream, now: Milliseconds): Opening | undefined {
+/** A back-off applies only to the box that was asked, so it is not shared. */
+function scheduleAfterBackOff(
+  { said, sentAt }: Upstream,
+  now: Milliseconds,
+): SendSchedule | undefined {
   const at = restOpensAt(said.restUntil, sentAt.at(-1), now)
   if (at === undefined) return undefined
   return { at, interval: RETURN_EVERY, reopensIn: Math.max(0, said.restUntil - now) }
 }
 
-function laterOf(left: Opening, right: Opening): Opening {
+function combineSchedules(left: SendSchedule, right: SendSchedule): SendSchedule {
   return {
     at: Math.max(left.at, right.at),
     interval: Math.max(left.interval, right.interval),
--- a/packages/gateway/src/tasks/upstreamDirectory.ts
+++ b/packages/gateway/src/tasks/upstreamDirectory.ts
@@ -23,35 +23,36 @@
 import type { Said, Upstream } from '../types/upstream.js'
 import type { BudgetSource, SendBudget } from './sendBudget.js'
 import type { CrashSuspects } from '@yewkeel/box'
-import { placeSuspects } from './placeSuspects.js'
+import { isolateSuspects } from './placeSuspects.js'
 import type { EngineWork } from './engineWork.js'
 import { UpstreamListTask } from './upstreamListTask.js'
 
-/** Why an upstream gets fewer requests than it could work on. */
-export type HeldBy = BudgetSource | 'leaving'
+/** Why an upstream receives fewer requests than its capacity allows. */
+export type RestrictionReason = BudgetSource | 'leaving'
 
 export interface PickQuery {
   service: string
-  /** Versions that the request may run on. */
+  /** Whether the request may run on this version. */
   admits(version: string): boolean
-  /** Of its service, if a version is rolled out. */
+  /** The trial of a version of the service, if one is rolled out. */
   trial?: VersionTrial
-  /** Runs that the request has been sent to. */
+  /** Runs that already received the request. */
   tried: readonly string[]
-  /** What the request's prompt costs, where it has one. */
+  /** Prefill cost of the prompt, if the request has one. */
   prompt?: PromptWork
-  /** Of the request's body. */
+  /** Size of the request body. */
   bodyBytes: number
-  /** Connections that one upstream takes from this box. */
+  /** Maximum connections from this box to one upstream. */
   channelLimit: number
-  /** Upstreams that ended under the request in a row. 0 where it is left out. */
+  /** Consecutive upstream crashes while running the request; 0 when omitted. */
   crashes?: number
-  /** Others that wait for a place at an upstream in need, and get one first. 0 where it is left out. */
+  /** Requests queued ahead of this one for a throttled upstream; 0 when omitted. */
   ahead?: number
 }
 
-/** What an upstream told of its load says little after this. */
-const TOLD_LOAD_LIFETIME: Milliseconds = 1_500
+/** Age after which reported load is ignored. */
+const REPORTED_LOAD_LIFETIME: Milliseconds = 1_500
+
 export interface UpstreamDirectoryOptions {
   clock: Clock
   random: Random
@@ -61,21 +62,24 @@
   budget: SendBudget
   suspects: Pick<CrashSuspects, 'trialsAt'>
   openChannels: OpenChannels
-  /** What a run has said of itself. */
+  /** The advertised state of a run. */
   saidBy(run: string): Said
-  /** Whether the operators' configuration names the service. Of any other no entry counts, not even at its address. */
+  /**
+   * Whether the configuration defines the service. Entries of other services are ignored, even to
+   * detect a replaced address.
+   */
   namesService(service: string): boolean
-  /** Whether the boxes of other data centres tell this one what they have sent to upstreams. */
+  /** Whether boxes in other data centres report their pending work to this box. */
   knowsFarWork(): boolean
 }
 
-/** The upstreams of the platform's list with what this box knows of each. */
+/** Listed upstreams and the state that this box keeps of each. */
 export class UpstreamDirectory {
-  /** What the platform's list says, as far as this box believes it. */
+  /** The platform's list of upstreams. */
   readonly list: UpstreamListTask
   readonly #upstreams = new Map<string, Upstream>()
   #evacuated: ReadonlySet<string> = new Set()
-  readonly #lines = new Map<string, WaitingLine>()
+  readonly #queues = new Map<string, WaitingLine>()
 
   constructor(private readonly options: UpstreamDirectoryOptions) {
     const { clock, log, namesService } = options
@@ -83,12 +87,12 @@
       clock,
       log,
       namesService,
-      onEntry: (entry, isFirst) => this.#keep(entry, isFirst),
-      onGone: id => this.#forget(id),
+      onEntry: (entry, isFirst) => this.#upsert(entry, isFirst),
+      onGone: id => this.#remove(id),
     })
   }
 
-  /** Nothing more is sent to the upstreams of these data centres. What is under way there goes on. */
+  /** Stops new requests to upstreams in these data centres. Running exchanges continue. */
   evacuate(dataCentres: readonly string[]): void {
     const before = this.#evacuated
     this.#evacuated = new Set(dataCentres)
@@ -99,7 +103,7 @@
     }
   }
 
-  /** A request is about to be sent there. */
+  /** Records the send time for rate limiting. */
   noteChosen(upstream: Upstream): void {
     upstream.sentAt.push(this.options.clock.now())
     if (upstream.sentAt.length > SENDS_REMEMBERED) upstream.sentAt.shift()
@@ -119,125 +123,131 @@
     }
     const { prompt, bodyBytes, trial, crashes = 0 } = query
     const isFirst = query.tried.length === 0
-    const surest = isFirst ? candidates : this.#withoutHeld(candidates, now)
-    const admitted = trial ? keepTrialUpstreams(surest, trial) : surest
-    const usable = placeSuspects(admitted, crashes, this.options.suspects.trialsAt())
+    const preferred = isFirst ? candidates : this.#preferUnthrottled(candidates, now)
+    const admitted = trial ? keepTrialUpstreams(preferred, trial) : preferred
+    const usable = isolateSuspects(admitted, crashes, this.options.suspects.trialsAt())
     if (!prompt) return pickUpstream(usable, { random, dataCentre })
     const knowsFarWork = this.options.knowsFarWork()
     return pickUpstream(usable, { random, dataCentre, prompt, knowsFarWork, bodyBytes })
   }
 
   /**
-   * A request that was turned away does not find out for others whether an upstream in need takes more, unless there is no other: its three tries would
-   * land on three such.
+   * Keeps rejected requests away from throttled upstreams while others are available, so that one
+   * request does not spend all its tries on them.
    */
-  #withoutHeld(candidates: Upstream[], now: Milliseconds): Upstream[] {
-    const free = candidates.filter(upstream => !this.options.budget.isHeld(upstream, now))
+  #preferUnthrottled(candidates: Upstream[], now: Milliseconds): Upstream[] {
+    const free = candidates.filter(upstream => !this.options.budget.isThrottled(upstream, now))
     return free.length > 0 ? free : candidates
   }
 
-  /** Whether some upstream would take a request until then, once one of its connections is free and those ahead are served. */
+  /**
+   * Whether some upstream may be sent the request by `until`, after those queued ahead. Assumes a
+   * free connection.
+   */
   couldTake(query: PickQuery, until: Milliseconds): boolean {
     const { clock, budget } = this.options
     const now = clock.now()
     const { ahead = 0 } = query
-    let openings = 0
+    let sends = 0
     for (const upstream of this.#upstreams.values()) {
-      if (this.#isEligible(upstream, query)) openings += budget.openings(upstream, now, until)
-      if (openings > ahead) return true
+      if (this.#isEligible(upstream, query)) sends += budget.allowedSends(upstream, now, until)
+      if (sends > ahead) return true
     }
     return false
   }
 
-  /** The requests of a service that look for an upstream now. */
+  /** The requests of a service that wait for an upstream. */
   lineOf(service: string): WaitingLine {
-    const known = this.#lines.get(service)
+    const known = this.#queues.get(service)
     if (known) return known
-    const line = createWaitingLine()
-    this.#lines.set(service, line)
-    return line
+    const queue = createWaitingLine()
+    this.#queues.set(service, queue)
+    return queue
   }
 
-  /** Upstreams of a service that take requests and are held back, or leave, by what holds them. */
-  heldBack(service?: string): Partial<Record<HeldBy, number>> {
+  /** Number of restricted upstreams by reason, of one service or of all. */
+  heldBack(service?: string): Partial<Record<RestrictionReason, number>> {
     const now = this.options.clock.now()
-    const counts: Partial<Record<HeldBy, number>> = {}
-    const add = (reason: HeldBy) => void (counts[reason] = (counts[reason] ?? 0) + 1)
+    const counts: Partial<Record<RestrictionReason, number>> = {}
+    const add = (reason: RestrictionReason) => void (counts[reason] = (counts[reason] ?? 0) + 1)
     for (const upstream of this.#upstreams.values()) {
       if (service !== undefined && upstream.listed.service !== service) continue
       if (upstream.said.isLeaving) add('leaving')
-      else for (const source of this.options.budget.holds(upstream, now)) add(source)
+      else for (const source of this.options.budget.activeSources(upstream, now)) add(source)
     }
     return counts
   }
 
-  /** Whether a place there is one of few, for which requests wait. */
+  /** Whether the upstream's rate is limited, so that requests queue for it. */
   isHeld(upstream: Upstream): boolean {
-    return this.options.budget.isHeld(upstream, this.options.clock.now())
+    return this.options.budget.isThrottled(upstream, this.options.clock.now())
   }
 
   /**
-   * How long it takes until some upstream takes a request like this from any box. 0 where one takes it now, or nobody can say when one
-   * will.
+   * Estimated time until some upstream accepts such a request from any box; 0 if one does now or
+   * nothing is known.
    */
   reopensIn(query: PickQuery): Milliseconds {
     const { clock, budget } = this.options
     const now = clock.now()
-    let soonest = Infinity
+    let earliest = Infinity
     for (const upstream of this.#upstreams.values())
       if (this.#isEligible(upstream, query))
-        soonest = Math.min(soonest, budget.reopensIn(upstream, now))
-    return Number.isFinite(soonest) ? soonest : 0
+        earliest = Math.min(earliest, budget.reopensIn(upstream, now))
+    return Number.isFinite(earliest) ? earliest : 0
   }
 
-  /** From where an upstream copies the shared parts of a prompt in place of reading them, if that pays. */
+  /**
+   * The upstream to copy KV cache of the shared prefix from in place of prefilling it, if that
+   * pays.
+   */
   copySource(prompt: PromptWork, chosen: Upstream): Upstream | undefined {
     const { service } = chosen.listed
     const { clock, budget } = this.options
     const now = clock.now()
     const members: Upstream[] = []
     for (const upstream of this.#upstreams.values()) {
-      if (upstream.listed.service !== service || !this.#takesRequests(upstream)) continue
-      // A copy is work for the one that it is taken from, too.
-      if (budget.isHeld(upstream, now)) continue
+      if (upstream.listed.service !== service || !this.#acceptsRequests(upstream)) continue
+      // Serving a copy is load for its source, too.
+      if (budget.isThrottled(upstream, now)) continue
       upstream.isEjected = isEjected(upstream.health, now)
       members.push(upstream)
     }
     return copySource(prompt, chosen, members)
   }
 
-  /** How long it would take until an answer to a prompt begins. Infinite when no upstream takes it. */
+  /** Estimated time to the first token; infinite without an available upstream. */
   beginsWithin(query: PickQuery & { prompt: PromptWork }): Milliseconds {
     const upstream = this.pick(query)
     if (!upstream) return Infinity
     return upstream.waiting + upstream.slowness * query.prompt.whole
   }
 
-  /** Versions of a service that some upstream serves and takes requests for. */
+  /** Number of ready upstreams by version of a service. */
   readyVersions(service: string): Map<string, number> {
     const versions = new Map<string, number>()
     for (const upstream of this.#upstreams.values()) {
       const { listed } = upstream
-      if (listed.service !== service || !this.#takesRequests(upstream)) continue
+      if (listed.service !== service || !this.#acceptsRequests(upstream)) continue
       versions.set(listed.version, (versions.get(listed.version) ?? 0) + 1)
     }
     return versions
   }
 
-  /** Whether some upstream of a version may be sent a request now. */
-  takesNow(service: string, version: string): boolean {
+  /** Whether some upstream of the version may be sent a request now. */
+  canSendTo(service: string, version: string): boolean {
     const { clock, budget } = this.options
     const now = clock.now()
     for (const upstream of this.#upstreams.values()) {
       const { listed, health } = upstream
       if (listed.service !== service || listed.version !== version) continue
-      if (this.#takesRequests(upstream) && !health.isGone && budget.admits(upstream, now))
+      if (this.#acceptsRequests(upstream) && !health.isGone && budget.admits(upstream, now))
         return true
     }
     return false
   }
 
-  /** This box's exchanges under way at each version of a service. */
+  /** This box's running exchanges by version of a service. */
   inFlight(service: string): Map<string, number> {
     const counts = new Map<string, number>()
     for (const { listed, inFlight } of this.#upstreams.values()) {
@@ -251,7 +261,7 @@
     upstream.told = { load, own: upstream.inFlight, at: this.options.clock.now() }
   }
 
-  /** Another box found another process at the address of an upstream's run. True if that is news. */
+  /** Marks a run as replaced by another process at its address. Returns whether that is new. */
   takeGone(run: string): boolean {
     const upstream = this.ofRun(run)
     if (!upstream || !noteGone(upstream.health)) return false
@@ -259,7 +269,7 @@
     return true
   }
 
-  /** An upstream that could not be reached answers again. */
+  /** Marks an upstream as reachable again. */
   noteReturned(upstream: Upstream): void {
     noteReachable(upstream.health)
     this.options.budget.suspectCold(upstream)
@@ -267,13 +277,13 @@
     this.options.log.note('upstream-reachable', { upstream: id, service })
   }
 
-  /** The upstream of a run, as long as it is listed. */
+  /** The listed upstream with this run, if any. */
   ofRun(run: string): Upstream | undefined {
     for (const upstream of this.#upstreams.values()) if (upstream.run === run) return upstream
     return undefined
   }
 
-  /** All upstreams that are listed. */
+  /** All listed upstreams. */
   all(): Iterable<Upstream> {
     return this.#upstreams.values()
   }
@@ -282,17 +292,17 @@
     return this.#upstreams.get(upstream.listed.id) === upstream
   }
 
-  /** Whether requests may be sent there at all. */
-  #takesRequests({ listed, said }: Upstream): boolean {
+  /** Whether the upstream accepts new requests, apart from its health and rate. */
+  #acceptsRequests({ listed, said }: Upstream): boolean {
     return !said.isLeaving && listed.state === 'ready' && !this.#evacuated.has(listed.dataCentre)
   }
 
-  /** It may be sent the request, whether or not a connection is free. */
+  /** Whether the upstream may serve the request, apart from connections and rate. */
   #isEligible(upstream: Upstream, query: PickQuery): boolean {
     const { listed, health } = upstream
     return (
       listed.service === query.service &&
-      this.#takesRequests(upstream) &&
+      this.#acceptsRequests(upstream) &&
       !health.isGone &&
       query.admits(listed.version) &&
       !query.tried.includes(upstream.run)
@@ -304,10 +314,10 @@
     const { budget } = this.options
     const hasChannel = channels.idle > 0 || channels.open < query.channelLimit
     if (!hasChannel || !this.#isEligible(upstream, query)) return false
-    return query.ahead ? !budget.isHeld(upstream, now) : budget.admits(upstream, now)
+    return query.ahead ? !budget.isThrottled(upstream, now) : budget.admits(upstream, now)
   }
 
-  #keep(entry: ListedUpstream, isFirst: boolean): void {
+  #upsert(entry: ListedUpstream, isFirst: boolean): void {
     const now = this.options.clock.now()
     const known = this.#upstreams.get(entry.id)
     if (!known) {
@@ -340,7 +350,7 @@
     known.listed = entry
   }
 
-  #forget(id: string): void {
+  #remove(id: string): void {
     const known = this.#upstreams.get(id)
     if (!known) return
     known.channels.retire()
@@ -351,6 +361,6 @@
 }
 
 function loadOf({ inFlight, told }: Upstream, now: Milliseconds): number {
-  if (!told || now - told.at > TOLD_LOAD_LIFETIME) return inFlight
+  if (!told || now - told.at > REPORTED_LOAD_LIFETIME) return inFlight
   return inFlight + Math.max(0, told.load - told.own)
 }
--- a/packages/gateway/src/tasks/versionJudge.ts
+++ b/packages/gateway/src/tasks/versionJudge.ts
@@ -16,44 +16,45 @@
   type VersionFault,
 } from '@yewkeel/decisions'
 
-/** Whose answer is counted, and where. */
+/** Identifies the source of an answer. */
 export interface AnswerKey {
   service: string
   version: string
   route: string
-  /** Empty where there is none. */
+  /** Empty if the request names no model. */
   model: string
   upstream: string
 }
 
-/** Aspects of an answer that are compared with the newest of other versions. */
+/** Aspects of an answer that are timed and compared with recent answers of other versions. */
 export type TimedAspect = Exclude<AnswerAspect, 'outcome'>
 
 /**
- * Where a version whose every fifth answer is three times slower differs most from a good one, beside which it runs. Of the paces of
- * such a version 70 to 99 % lie above the median of the others and 24 to 58 % above their upper quartile, of a good
- * one 20 to 37 % and 13 to 19 %. Of its beginnings 54 to 84 % and 24 to 57 %, 43 to 63 % and 22 to 35 % of a good one (two deployments of
- * seven and nine boxes, two days each).
+ * An answer is slow if it exceeds `times` times the `part` quantile of recent answers of other
+ * versions.
  */
 const SLOW_LIMITS: Record<TimedAspect, SlowLimit> = {
   start: { part: 0.75, times: 1.1 },
   pace: { part: 0.5, times: 1 },
 }
 
-/** The counts of one box. */
+/** Answer counts reported by one box. */
 export interface BoxAnswers {
   box: string
   counts: readonly AnswerCount[]
 }
 
 export interface VersionJudgeOptions {
-  /** Whether a version's answers are compared with those of the others, and teach nothing of what is usual. */
+  /** Whether a version is on trial: its answers are judged and excluded from the baseline. */
   isOnTrial(service: string, version: string): boolean
-  /** A version on trial gave a bad answer. */
+  /** Called on each bad answer of a version on trial. */
   onBadAnswer(): void
 }
 
-/** Gathers what this box sees of the answers of versions, and judges by what all boxes see. */
+/**
+ * Counts good and bad answers by version on this box, and judges versions by the counts of all
+ * boxes.
+ */
 export class VersionJudge {
   readonly #counts = new Map<string, AnswerCount>()
   readonly #ledgers = new Map<string, EvidenceLedger>()
@@ -61,12 +62,12 @@
 
   constructor(private readonly options: VersionJudgeOptions) {}
 
-  /** What this box has counted since the orders that are in force. */
+  /** This box's counts since the current orders. */
   get counts(): AnswerCount[] {
     return [...this.#counts.values()]
   }
 
-  /** Another version of a service is ordered: the evidence of before says nothing of it. */
+  /** Drops the evidence of a service, for a new order. */
   forget(service: string): void {
     this.#ledgers.delete(service)
     for (const [name, count] of this.#counts)
@@ -77,7 +78,7 @@
     this.#count(key, 'outcome', isGood)
   }
 
-  /** How long an answer took in one aspect. */
+  /** Records the time of an answer in one aspect and counts it as good or bad. */
   noteTime(key: AnswerKey, aspect: TimedAspect, sample: number): void {
     const recent = this.#recentOf(key, aspect)
     const slow = isSlow(recent, sample, SLOW_LIMITS[aspect])
@@ -85,14 +86,14 @@
     if (slow !== undefined) this.#count(key, aspect, !slow)
   }
 
-  /** An answer that ended before its time: it counts if it took too long already, and else says nothing. */
+  /** Counts an unfinished answer as bad if it was already slow; otherwise ignores it. */
   noteUnfinished(key: AnswerKey, aspect: TimedAspect, sampleSoFar: number): void {
     const recent = this.#recentOf(key, aspect)
     if (isSlow(recent, sampleSoFar, SLOW_LIMITS[aspect])) this.#count(key, aspect, false)
   }
 
   #recentOf({ service, route, model }: AnswerKey, aspect: TimedAspect): RecentTimes {
-    // Models have a pace of their own, whatever the route; calls have none.
+    // Baselines are by model where there is one, otherwise by route.
     const name = `${service} ${aspect} ${model === '' ? route : model}`
     const recent = this.#recent.get(name) ?? createRecentTimes()
     this.#recent.set(name, recent)
@@ -100,15 +101,15 @@
   }
 
   #count({ service, version, route, upstream }: AnswerKey, aspect: AnswerAspect, isGood: boolean) {
-    const of = this.options.isOnTrial(service, version) ? upstream : ''
-    const name = `${service} ${version} ${route} ${aspect} ${of}`
+    const trialUpstream = this.options.isOnTrial(service, version) ? upstream : ''
+    const name = `${service} ${version} ${route} ${aspect} ${trialUpstream}`
     const known = this.#counts.get(name)
     const count = known ?? {
       service,
       version,
       route,
       aspect,
-      ...(of !== '' && { upstream: of }),
+      ...(trialUpstream !== '' && { upstream: trialUpstream }),
       good: 0,
       bad: 0,
     }
@@ -118,16 +119,19 @@
       return
     }
     count.bad++
-    if (of !== '') this.options.onBadAnswer()
+    if (trialUpstream !== '') this.options.onBadAnswer()
   }
 
-  /** Why a version had better not get all requests, by all that has been judged so far. */
-  doubt(service: string, version: string, upstreams: number): VersionFault | undefined {
+  /**
+   * Returns a reason not to complete the version, from the evidence so far; undefined if there is
+   * none.
+   */
+  findDoubt(service: string, version: string, upstreams: number): VersionFault | undefined {
     const ledger = this.#ledgers.get(service)
     return ledger && findVersionDoubt(ledger, version, upstreams)
   }
 
-  /** What is known of a version in each aspect, for the log. */
+  /** Summarises the evidence on a version by aspect, for the log. */
   evidenceOf(service: string, version: string): Record<AnswerAspect, object> | undefined {
     const ledger = this.#ledgers.get(service)
     if (!ledger) return undefined
@@ -139,22 +143,22 @@
   }
 
   /**
-   * Why a version is held to be bad, by the answers that all boxes have seen; undefined where nothing new speaks against it.
-   * `upstreams`: how many serve it.
+   * Merges the reports of all boxes and returns why the version is bad; undefined if not shown, or
+   * if no report is new. `upstreams`: number of upstreams that serve it.
    */
   judge(
     service: string,
     version: string,
     upstreams: number,
-    told: readonly BoxAnswers[],
+    reports: readonly BoxAnswers[],
     now: Milliseconds,
   ): VersionFault | undefined {
     const ledger = this.#ledgers.get(service) ?? createEvidenceLedger()
     this.#ledgers.set(service, ledger)
     let hasNews = false
-    for (const { box, counts } of told) {
-      const ofService = counts.filter(count => count.service === service)
-      if (takeAnswerCounts(ledger, box, ofService, now)) hasNews = true
+    for (const { box, counts } of reports) {
+      const serviceCounts = counts.filter(count => count.service === service)
+      if (takeAnswerCounts(ledger, box, serviceCounts, now)) hasNews = true
     }
     return hasNews ? findVersionFault(ledger, version, upstreams) : undefined
   }
--- a/packages/gateway/test/rolloutTask.test.ts
+++ b/packages/gateway/test/rolloutTask.test.ts
@@ -18,7 +18,7 @@
     store: {} as RolloutTaskOptions['store'],
     upstreams: {
       readyVersions: () => versions,
-      takesNow: () => true,
+      canSendTo: () => true,
       inFlight: () => new Map(),
     } as unknown as RolloutTaskOptions['upstreams'],
     rank: () => 0,
@@ -37,20 +37,20 @@
   return task
 }
 
-const SUSPECT = { ...KEY, version: 'v2', upstream: 'u2' }
+const TARGET_KEY = { ...KEY, version: 'v2', upstream: 'u2' }
 
-const badOf = (task: RolloutTask, version: string, aspect: AnswerAspect) =>
+const badCountOf = (task: RolloutTask, version: string, aspect: AnswerAspect) =>
   task.answers.find(count => count.version === version && count.aspect === aspect)?.bad
 
-describe('requests of a service that is rolled out', () => {
-  const admitted = (takesNow: boolean, session: (at: number) => string | undefined) => {
+describe('requests of a service during a rollout', () => {
+  const admitted = (canSend: boolean, session: (at: number) => string | undefined) => {
     const versions = new Map([
       ['v1', 2],
       ['v2', 2],
     ])
     const upstreams = {
       readyVersions: () => versions,
-      takesNow: () => takesNow,
+      canSendTo: () => canSend,
       inFlight: () => new Map(),
     } as unknown as RolloutTaskOptions['upstreams']
     const clock = new ManualClock()
@@ -63,59 +63,59 @@
     return requests.filter(admits => admits('v2')).length
   }
 
-  it('go to the established version while all upstreams of the new one are in need', () => {
+  it('go to the established version while no upstream of the target may be sent to', () => {
     expect(admitted(true, () => undefined)).to.be.above(0)
     expect(admitted(false, () => undefined)).to.equal(0)
   })
 
-  it('stay with their version where they are of a session', () => {
+  it('of a session keep their version while no upstream of the target may be sent to', () => {
     const session = (at: number) => `s${at}`
     expect(admitted(false, session)).to.equal(admitted(true, session))
   })
 })
 
-describe('evidence that a box gathers', () => {
-  it('does not hold a long prompt against its version', () => {
+describe('evidence on a version', () => {
+  it('counts an answer slightly slower than the baseline as good', () => {
     const task = createTask()
-    task.judge.noteTime(SUSPECT, 'start', 1.05)
-    expect(badOf(task, 'v2', 'start')).to.equal(0)
+    task.judge.noteTime(TARGET_KEY, 'start', 1.05)
+    expect(badCountOf(task, 'v2', 'start')).to.equal(0)
   })
 
-  it('counts an answer that took longer than its prompt and the answers of others explain', () => {
+  it('counts an answer that starts later than the baseline as bad', () => {
     const task = createTask()
-    task.judge.noteTime(SUSPECT, 'start', 1.2)
-    expect(badOf(task, 'v2', 'start')).to.equal(1)
+    task.judge.noteTime(TARGET_KEY, 'start', 1.2)
+    expect(badCountOf(task, 'v2', 'start')).to.equal(1)
   })
 
-  it('counts an answer that goes on more slowly than most of the others', () => {
+  it('counts an answer with a slower pace than the baseline as bad', () => {
     const task = createTask()
-    task.judge.noteTime(SUSPECT, 'pace', 40)
-    expect(badOf(task, 'v2', 'pace')).to.equal(1)
+    task.judge.noteTime(TARGET_KEY, 'pace', 40)
+    expect(badCountOf(task, 'v2', 'pace')).to.equal(1)
   })
 
-  it('counts a failure', () => {
+  it('counts a failed answer as bad', () => {
     const task = createTask()
-    task.judge.noteOutcome(SUSPECT, false)
-    expect(badOf(task, 'v2', 'outcome')).to.equal(1)
+    task.judge.noteOutcome(TARGET_KEY, false)
+    expect(badCountOf(task, 'v2', 'outcome')).to.equal(1)
   })
 
-  it('never learns from a version on trial what is usual', () => {
+  it('excludes answers of a version on trial from the baseline', () => {
     const task = createTask()
-    for (let count = 0; count < 50; count++) task.judge.noteTime(SUSPECT, 'pace', 90)
-    expect(badOf(task, 'v2', 'pace')).to.equal(50)
+    for (let count = 0; count < 50; count++) task.judge.noteTime(TARGET_KEY, 'pace', 90)
+    expect(badCountOf(task, 'v2', 'pace')).to.equal(50)
   })
 
-  it('counts an answer that was given up if it had taken too long by then, and says nothing of others', () => {
+  it('counts an unfinished answer as bad if it was already slow, and ignores others', () => {
     const task = createTask()
-    task.judge.noteUnfinished(SUSPECT, 'start', 1)
-    expect(badOf(task, 'v2', 'start')).to.equal(undefined)
-    task.judge.noteUnfinished(SUSPECT, 'start', 3)
-    expect(badOf(task, 'v2', 'start')).to.equal(1)
+    task.judge.noteUnfinished(TARGET_KEY, 'start', 1)
+    expect(badCountOf(task, 'v2', 'start')).to.equal(undefined)
+    task.judge.noteUnfinished(TARGET_KEY, 'start', 3)
+    expect(badCountOf(task, 'v2', 'start')).to.equal(1)
   })
 })
 
-describe('versions that a request may run on', () => {
-  it('leave out a target whose roll-out has not begun, or was rolled back', () => {
+describe('admitted versions', () => {
+  it('exclude a target whose rollout has not started or was rolled back', () => {
     const task = createTask()
     expect(task.admission('pool', undefined)('v2')).to.equal(false)
     task.takeStatuses([
@@ -125,7 +125,7 @@
     expect(task.admission('pool', undefined)('v1')).to.equal(true)
   })
 
-  it('are the target alone once it is completed, and a late older status changes nothing', () => {
+  it('are only the target after completion, even if an older status arrives later', () => {
     const task = createTask()
     const completed = { service: 'pool', target: 'v2', state: 'completed' as const, startedAt: 0 }
     task.takeStatuses([{ ...completed, revision: 9 }])
@@ -135,13 +135,10 @@
   })
 
   /**
-   * What users saw: requests of one session ran on the version of before and on a bad one by turns.
-   * Order of events: a version is rolled back; another is ordered at once, while the upstreams of the bad one still serve. All but
-   * the new target were admitted.
-   * Evidence: the rolled-back state was written at 26.57 s, the next order read at 26.65 s; at 28.2 s seven requests ran on another
-   * version than the one before them in their sessions.
+   * Guards against admitting every version but the new target, which mixed a rolled-back version
+   * into sessions.
    */
-  it('leave out a version that was rolled back also when another is ordered while its upstreams still serve', async () => {
+  it('exclude a rolled-back version during the next rollout while its upstreams are still ready', async () => {
     const versions = new Map([
       ['v1', 3],
       ['v2', 2],
@@ -149,7 +146,7 @@
     ])
     const upstreams = {
       readyVersions: () => versions,
-      takesNow: () => true,
+      canSendTo: () => true,
       inFlight: () => new Map(),
     }
     const written: { rejected?: readonly string[] }[] = []
@@ -170,10 +167,10 @@
     }
     task.takeStatuses([{ ...rolledBack, revision: 6 }])
     task.takeOrders([{ ...ORDER, target: 'v3', revision: 7 }])
-    const admitted = (which: RolloutTask) =>
-      [...versions.keys()].filter(which.admission('pool', 's1'))
+    const admitted = (rollouts: RolloutTask) =>
+      [...versions.keys()].filter(rollouts.admission('pool', 's1'))
     expect(admitted(task)).to.eql(['v1'])
-    // A box that starts later learns of it by the state of the new roll-out.
+    // A box that starts later reads the rejected version from the status of the new rollout.
     task.noteStoreClock(0, 0)
     task.tick()
     await Promise.resolve()
@@ -182,17 +179,17 @@
     later.takeOrders([{ ...ORDER, target: 'v3', revision: 7 }])
     later.takeStatuses([{ ...active, ...written[0], revision: 8 }])
     expect(admitted(later)).to.eql(['v1'])
-    // Nothing but the rejected one is left: it serves rather than none.
+    // Only the rejected version is left: it serves rather than none.
     versions.delete('v1')
     versions.delete('v3')
     expect(admitted(later)).to.eql(['v2'])
   })
 
-  it('do not take in a version that came up without an order while an established one serves', () => {
+  it('exclude a version that starts without an order while an established one is ready', () => {
     const versions = new Map([['v1', 2]])
     const upstreams = {
       readyVersions: () => versions,
-      takesNow: () => true,
+      canSendTo: () => true,
       inFlight: () => new Map(),
     }
     const task = createTask({ upstreams: upstreams as unknown as RolloutTaskOptions['upstreams'] })
@@ -206,21 +203,19 @@
 })
 
 /**
- * What users saw: for up to 25 s after a roll-back, further tries of requests that had begun before it went to the bad version, and boxes
- * that the store turned away sent it new ones.
- * Order of events: a request draws its version when it comes; the version is found bad; the store is written; the request tries again.
- * Cause: the draw was kept for good, and a verdict counted only once the store had it.
+ * Guards against retries of earlier requests, and boxes without the store, using a bad version
+ * after a verdict.
  */
 describe('a verdict on a version', () => {
   const active = { service: 'pool', target: 'v2', state: 'active' as const, startedAt: 0 }
-  const isOut = {
+  const unavailableStore = {
     writeRollout: () => Promise.reject(new Error('the store does not answer')),
   } as unknown as RolloutTaskOptions['store']
 
-  /** A box at three quarters of a roll-out, and a session that is on trial there. */
+  /** Creates a box at three quarters of a rollout, and a session that runs on the target. */
   async function createTrial(change: Partial<RolloutTaskOptions> = {}) {
     const clock = new ManualClock()
-    const task = createTask({ clock, store: isOut, ...change })
+    const task = createTask({ clock, store: unavailableStore, ...change })
     task.takeStatuses([{ ...active, revision: 6 }])
     task.noteStoreClock(0, 0)
     await clock.advance(0.75 * ORDER.duration)
@@ -229,34 +224,34 @@
     return { task, clock, session }
   }
 
-  it('takes requests under way and new ones off the version at once, though the store does not answer', async () => {
+  it('excludes the version for running and new requests at once, although the store fails', async () => {
     const { task, session } = await createTrial()
-    const underWay = task.admission('pool', session)
-    expect(underWay('v2')).to.equal(true)
+    const admits = task.admission('pool', session)
+    expect(admits('v2')).to.equal(true)
     for (let count = 0; count < 40; count++)
       for (const upstream of ['u2', 'u3', 'u4'])
-        task.judge.noteOutcome({ ...SUSPECT, upstream }, count % 2 === 0)
+        task.judge.noteOutcome({ ...TARGET_KEY, upstream }, count % 2 === 0)
     task.tick()
-    expect([underWay('v2'), underWay('v1')]).to.eql([false, true])
+    expect([admits('v2'), admits('v1')]).to.eql([false, true])
     expect(task.admission('pool', session)('v2')).to.equal(false)
     expect(task.verdicts).to.eql([{ service: 'pool', revision: ORDER.revision }])
   })
 
-  it('counts on a box that another has told of it, and only for the order that it is of', async () => {
+  it('applies on boxes that receive it, and only to its own order', async () => {
     const { task, session } = await createTrial()
-    const underWay = task.admission('pool', session)
+    const admits = task.admission('pool', session)
     task.takeVerdicts([{ service: 'pool', revision: ORDER.revision - 1 }])
-    expect(underWay('v2')).to.equal(true)
+    expect(admits('v2')).to.equal(true)
     task.takeVerdicts([{ service: 'pool', revision: ORDER.revision }])
-    expect(underWay('v2')).to.equal(false)
+    expect(admits('v2')).to.equal(false)
     task.takeOrders([{ ...ORDER, target: 'v2', revision: ORDER.revision + 3 }])
     task.takeStatuses([{ ...active, startedAt: 0, revision: 20 }])
     expect(task.admission('pool', session)('v2')).to.equal(true)
   })
 })
 
-describe('a leader that the store turns away', () => {
-  it('is stepped in for by each of the next boxes before the end of the roll-out', async () => {
+describe('a rollout leader that the store rejects', () => {
+  it('is replaced by the box of rank 2 before the end of the rollout', async () => {
     const clock = new ManualClock()
     const written: string[] = []
     const store = {
@@ -266,7 +261,7 @@
       },
       readRollouts: () => Promise.resolve({ value: [], version: 9, storeNow: clock.now() }),
     } as unknown as RolloutTaskOptions['store']
-    // Both boxes before this one are turned away by the store.
+    // The store rejects the boxes of rank 0 and 1.
     const task = createTask({ clock, store, rank: () => 2 })
     const active = { service: 'pool', target: 'v2', state: 'active' as const, startedAt: 0 }
     task.takeStatuses([{ ...active, revision: 6 }])
