--- a/packages/gateway/src/tasks/storeReader.ts
+++ b/packages/gateway/src/tasks/storeReader.ts
@@ -14,80 +14,88 @@
   operators: OperatorTask
   upstreams: UpstreamListTask
   rollouts: RolloutTask
-  /** Whether this box reads for all; the others read only when they hear nothing. */
+  /**
+   * Whether this box is a designated reader; others read only when they receive no confirmation.
+   */
   isReader(): boolean
-  /** Boxes that are heard of, and this one. */
+  /** Number of boxes known by gossip, including this one. */
   boxCount(): number
-  /** The store has ceased to answer this box, or answers again. */
+  /** Called when the store stops or resumes answering this box. */
   onStoreChange(): void
-  /** The operators' changes and leaving upstreams must be known within this. */
+  /** Maximum time until changes by operators and leaving upstreams must be known. */
   newsWithin(): Milliseconds
   onOperatorsRead(): void
   onUpstreamsRead(): void
 }
 
-/** Parts of the time within which news must be known. A waiting read ends even if nothing changes ... */
-const AWAIT_PART = 0.3
-/** ... the list is read this often, so that a leaving upstream is known in half of the time. */
-const LIST_PART = 0.4
+/** Longest wait of a long poll, as a share of `newsWithin`. */
+const LONG_POLL_SHARE = 0.3
+/** Interval of list reads, as a share of `newsWithin`. */
+const LIST_READ_SHARE = 0.4
 /**
- * Part of that time without a proof of the list, from any box, after which the store was out for all: proofs are younger
- * wherever some box reads, and entries begin to lapse two heartbeats after the store went.
+ * Age of the newest confirmation of the list from any box that counts as a store outage, as a share
+ * of `newsWithin`.
  */
-const OUTAGE_PART = 0.9
+const OUTAGE_SHARE = 0.9
 /**
- * ... and not before this, however soon news must be known: entries lapse after three heartbeats of 1.2 s without one, so
- * that a shorter outage takes none away. At 1.8 s a box that heard its neighbours 0.6 s late took that for an outage once
- * in two days with many planned stops, and kept upstreams that had left.
+ * Minimum age that counts as an outage: entries expire after three missed heartbeats of 1.2 s, so
+ * none expires in a shorter one.
  */
-const LEAST_OUTAGE: Milliseconds = 2_300
-/** A box that has lost the store, and hears from others, asks this often whether it answers again. */
-const PROBE_EVERY: Milliseconds = 5_000
-const LOOK_AGAIN: Milliseconds = 120
-/** A read of the store and what follows it, on a busy box. */
-const READ_TAKES: Milliseconds = 100
+const MIN_OUTAGE_AGE: Milliseconds = 2_300
+/** Interval of calls to a store that does not answer, while gossip keeps the box up to date. */
+const STORE_PROBE_INTERVAL: Milliseconds = 5_000
+/** How often a box checks whether a read is due. */
+const CHECK_INTERVAL: Milliseconds = 120
+/** Duration of a read and its processing on a busy box. */
+const READ_DURATION: Milliseconds = 100
 /**
- * A box that is told nothing reads for itself this long before news must be known: it looks for that every so often, reads, and
- * what it sent just before arrives only when a connection has opened. At 0.95 of the time a read could begin at 1.92 of 2 s.
+ * Without confirmations a box reads this long before `newsWithin` ends: time for the check
+ * interval, the read, and a request just sent that still opens its connection.
  */
-const ALONE_MARGIN: Milliseconds = LOOK_AGAIN + READ_TAKES + OPENS_WITHIN
-/** A reader asks again after this when the store did not answer ... */
-const AFTER_FAILURE: Milliseconds = 250
-/** ... and the others together this often, since every call is priced: each waits its turn. */
-const OTHERS_AFTER_FAILURE: Milliseconds = 125
-/** However a loop fares, its steps begin no sooner one after the other: a store that answers at once would be asked without end. */
-const LEAST_STEP: Milliseconds = 100
-/** A box that knows nothing yet doubles its pause up to this. */
-const LONGEST_AFTER_FAILURE: Milliseconds = 1_000
-
-/** Keeps what a box knows of the store fresh, with as few calls as the boxes together need. */
+const UNCONFIRMED_READ_MARGIN: Milliseconds = CHECK_INTERVAL + READ_DURATION + OPENS_WITHIN
+/** Retry delay of a reader. */
+const READER_RETRY_DELAY: Milliseconds = 250
+/** Retry delay of other boxes per known box, which bounds their common call rate. */
+const RETRY_DELAY_PER_BOX: Milliseconds = 125
+/**
+ * Minimum time between the starts of two steps of a loop, so that immediate answers cause no busy
+ * loop.
+ */
+const MIN_STEP_INTERVAL: Milliseconds = 100
+/** Upper bound of the back-off before the first successful read. */
+const MAX_STARTUP_RETRY_DELAY: Milliseconds = 1_000
+
+/** Keeps this box's copy of operator state and upstream list fresh with few store calls. */
 export class StoreReader {
-  readonly #listProof: Confirmation = {}
+  readonly #listConfirmation: Confirmation = {}
   #isStopped = false
   #isStoreOut = false
-  #firstPause = AFTER_FAILURE
-  #askedAt = -Infinity
+  #startupRetryDelay = READER_RETRY_DELAY
+  #lastCallAt = -Infinity
 
   constructor(private readonly options: StoreReaderOptions) {}
 
-  /** Age of the proof that the list of upstreams is the store's newest. */
+  /**
+   * Age of the newest confirmation that the list of upstreams is current; not finite before the
+   * first.
+   */
   get listAge(): Milliseconds {
-    return confirmationAge(this.#listProof, this.options.clock.now())
+    return confirmationAge(this.#listConfirmation, this.options.clock.now())
   }
 
-  /** At `provedAt` the list that this box holds, or takes next, was the store's newest. */
+  /** Confirms that the list that this box holds, or takes next, was current at `provedAt`. */
   proveList(provedAt: Milliseconds): void {
-    confirm(this.#listProof, provedAt)
-    if (!this.#isListOld) this.options.upstreams.noteReturn()
+    confirm(this.#listConfirmation, provedAt)
+    if (!this.#isListStale) this.options.upstreams.noteReturn()
   }
 
-  /** No box can have read the list for long. A box that has no proof yet knows of no outage. */
-  get #isListOld(): boolean {
+  /** Whether no box can have read the list recently. False before the first confirmation. */
+  get #isListStale(): boolean {
     if (!Number.isFinite(this.listAge)) return false
-    return this.listAge > Math.max(LEAST_OUTAGE, OUTAGE_PART * this.options.newsWithin())
+    return this.listAge > Math.max(MIN_OUTAGE_AGE, OUTAGE_SHARE * this.options.newsWithin())
   }
 
-  /** The store did not answer this box's last call. */
+  /** Whether this box's last call to the store failed. */
   get isStoreOut(): boolean {
     return this.#isStoreOut
   }
@@ -110,43 +118,44 @@
         pause = await step()
       } catch (error) {
         this.#noteFailure(error)
-        pause = this.#pauseAfterFailure()
+        pause = this.#retryDelay()
       }
-      pause = Math.max(pause, LEAST_STEP - (clock.now() - begunAt))
+      pause = Math.max(pause, MIN_STEP_INTERVAL - (clock.now() - begunAt))
       if (pause > 0) await sleep(clock, pause)
     }
     log.note('store-reader-stopped', {})
   }
 
-  /** After a call that failed, and after a read that proves nothing: a box that can't prove what it holds asks as seldom. */
-  #pauseAfterFailure(): Milliseconds {
+  /** Pause after a failed call, or after a read that returned an outdated state. */
+  #retryDelay(): Milliseconds {
     const { operators, isReader, boxCount } = this.options
     if (operators.state.revision === 0) {
-      this.#firstPause = Math.min(LONGEST_AFTER_FAILURE, 2 * this.#firstPause)
-      return this.#firstPause
+      this.#startupRetryDelay = Math.min(MAX_STARTUP_RETRY_DELAY, 2 * this.#startupRetryDelay)
+      return this.#startupRetryDelay
     }
-    return isReader() ? AFTER_FAILURE : Math.max(AFTER_FAILURE, OTHERS_AFTER_FAILURE * boxCount())
+    return isReader()
+      ? READER_RETRY_DELAY
+      : Math.max(READER_RETRY_DELAY, RETRY_DELAY_PER_BOX * boxCount())
   }
 
   async #readOperators(): Promise<Milliseconds> {
     const { operators, clock, store, rollouts, isReader, newsWithin } = this.options
     const isFirst = operators.state.revision === 0
-    const isProbeDue = this.#isStoreOut && clock.now() - this.#askedAt > PROBE_EVERY
-    const isTold = operators.age < newsWithin() - ALONE_MARGIN
-    if (!isFirst && !isReader() && isTold && !isProbeDue) return LOOK_AGAIN
+    const isProbeDue = this.#isStoreOut && clock.now() - this.#lastCallAt > STORE_PROBE_INTERVAL
+    const isFresh = operators.age < newsWithin() - UNCONFIRMED_READ_MARGIN
+    if (!isFirst && !isReader() && isFresh && !isProbeDue) return CHECK_INTERVAL
     const sentAt = clock.now()
-    this.#askedAt = sentAt
+    this.#lastCallAt = sentAt
     if (!isFirst) {
       const { revision } = operators.state
-      const wait = isReader() ? Math.round(AWAIT_PART * newsWithin()) : 0
+      const wait = isReader() ? Math.round(LONG_POLL_SHARE * newsWithin()) : 0
       const news = await store.awaitOperatorState(revision, wait)
       this.#noteAnswer(news.storeNow)
       if (!news.value) {
         operators.prove(news.version, sentAt)
-        // Told at once and not in the next round, a proof reaches boxes four hops away before they read for themselves: 60
-        // boxes, idle, ask the store 3.9 times a second in place of 7.1.
+        // Sent at once, a confirmation reaches distant boxes before they read for themselves.
         if (isReader()) this.options.onOperatorsRead()
-        return isReader() ? 0 : LOOK_AGAIN
+        return isReader() ? 0 : CHECK_INTERVAL
       }
     }
     const readAt = clock.now()
@@ -156,15 +165,15 @@
     if (isNewest) operators.prove(read.value.revision, readAt)
     this.options.onOperatorsRead()
     if (read.value.orders.length > 0) rollouts.takeStatuses((await store.readRollouts()).value)
-    if (isFirst && !operators.index) return AFTER_FAILURE
-    return isNewest ? 0 : this.#pauseAfterFailure()
+    if (isFirst && !operators.index) return READER_RETRY_DELAY
+    return isNewest ? 0 : this.#retryDelay()
   }
 
   async #readUpstreams(): Promise<Milliseconds> {
     const { upstreams, clock, store, isReader, newsWithin } = this.options
-    // While the store does not answer, one call at a time asks whether it is back.
+    // During an outage only the loop of the operator state probes the store.
     if (this.#isStoreOut && upstreams.version > 0) return this.#noteListOutage()
-    if (!isReader() && this.listAge < newsWithin() - ALONE_MARGIN) return LOOK_AGAIN
+    if (!isReader() && this.listAge < newsWithin() - UNCONFIRMED_READ_MARGIN) return CHECK_INTERVAL
     const sentAt = clock.now()
     try {
       const read = await store.readUpstreams()
@@ -176,13 +185,13 @@
       this.#noteListOutage()
       throw error
     }
-    return Math.max(0, LIST_PART * newsWithin() - (clock.now() - sentAt))
+    return Math.max(0, LIST_READ_SHARE * newsWithin() - (clock.now() - sentAt))
   }
 
-  /** Others may still read the store: only if nobody does can entries lapse although their upstreams live. */
+  /** Other boxes may still read the store; entries are kept only if none can. */
   #noteListOutage(): Milliseconds {
-    if (this.#isListOld) this.options.upstreams.noteOutage(this.listAge)
-    return LOOK_AGAIN
+    if (this.#isListStale) this.options.upstreams.noteOutage(this.listAge)
+    return CHECK_INTERVAL
   }
 
   #noteAnswer(storeNow: Milliseconds): void {
--- a/packages/gateway/src/tasks/upstreamListTask.ts
+++ b/packages/gateway/src/tasks/upstreamListTask.ts
@@ -17,91 +17,100 @@
 export interface UpstreamListTaskOptions {
   clock: Clock
   log: EventLog
-  /** Whether the operators' configuration names the service. Of any other no entry counts, not even at its address. */
+  /**
+   * Whether the configuration defines the service. Entries of other services are ignored, even to
+   * detect a replaced address.
+   */
   namesService(service: string): boolean
-  /** An entry that is believed, new or as before. `isFirst`: it is of the first list. */
+  /**
+   * Called with each accepted entry, new or known, on every list. `isFirst`: it is from the first
+   * list.
+   */
   onEntry(entry: ListedUpstream, isFirst: boolean): void
-  /** The run of an upstream has ended. */
+  /** Called when an upstream is removed. */
   onGone(id: string): void
 }
 
-/** The fingerprint before the first list; hashes are never negative, so that even an empty list is news. */
-const NO_LIST = -1
+/** Fingerprint before the first list. Hashes are never negative, so even an empty list differs. */
+const NO_FINGERPRINT = -1
 
-/** Holds the platform's list of upstreams: how new it is, and which of its entries are to be believed. */
+/**
+ * Holds the platform's list of upstreams and its version, and keeps lapsed entries for a grace
+ * period after a store outage.
+ */
 export class UpstreamListTask {
   readonly #state = createUpstreamListState()
-  #fingerprint = NO_LIST
+  #fingerprint = NO_FINGERPRINT
   #version = 0
   #listed: readonly ListedUpstream[] = []
   #graceTimer: Timer | undefined
 
   constructor(private readonly options: UpstreamListTaskOptions) {}
 
-  /** Names the present content of the list: equal for equal lists. */
+  /** Hash of the list's content: equal for equal lists. */
   get fingerprint(): number {
     return this.#fingerprint
   }
 
-  /** The store's version when the list was read. 0 before the first. */
+  /** The store's version at the last read or confirmation of the list; 0 before the first. */
   get version(): number {
     return this.#version
   }
 
-  /** The list as the store had it, without entries that are kept for a while. */
+  /** The list as read from the store, without entries in their grace period. */
   get listed(): ListedUpstream[] {
     return [...this.#listed]
   }
 
-  /** The same list was read at a later version. */
+  /** Confirms the list at a later version of the store. */
   sameAt(version: number): void {
     this.#version = Math.max(this.#version, version)
   }
 
-  /** No box can have read the list for `age`. */
+  /** Records a store outage: no box can have read the list for `age`. */
   noteOutage(age: Milliseconds): void {
     if (!this.#state.isStoreOut) this.options.log.note('list-lost', { age: Math.round(age) })
     noteListOutage(this.#state)
   }
 
-  /** The list was confirmed as it is after an outage. */
+  /** Records that the list was confirmed, which ends an outage. */
   noteReturn(): void {
     if (this.#state.isStoreOut) this.options.log.note('list-back', { version: this.#version })
     noteListReturn(this.#state, this.options.clock.now())
-    this.#awaitGraceEnd()
+    this.#scheduleGraceEnd()
   }
 
-  /** Takes a whole list; an older one is passed over. True when it differs from the last one. */
+  /**
+   * Replaces the list unless `version` is older. Returns whether its content differs from the last
+   * one.
+   */
   take(listed: readonly ListedUpstream[], version: number): boolean {
     if (version < this.#version) return false
     const isFirst = this.#version === 0
     this.#version = version
     this.#listed = listed
-    if (isFirst) this.#noteFirstList()
-    this.#believe(isFirst)
+    if (isFirst) this.#logFirstList()
+    this.#applyList(isFirst)
     const before = this.#fingerprint
     this.#fingerprint = fingerprintOf(listed)
     return before !== this.#fingerprint
   }
 
-  /** The operators' configuration may name other services than before. */
+  /** Applies the list again after a change of the configured services. */
   reconsider(): void {
-    if (this.#version > 0) this.#believe(false)
+    if (this.#version > 0) this.#applyList(false)
   }
 
-  #believe(isFirst: boolean): void {
+  #applyList(isFirst: boolean): void {
     const { clock, namesService, onEntry, onGone } = this.options
     const named = this.#listed.filter(({ service }) => namesService(service))
     takeUpstreamList(this.#state, named, clock.now()).forEach(onGone)
-    this.#awaitGraceEnd()
+    this.#scheduleGraceEnd()
     for (const entry of this.#state.entries.values()) onEntry(entry, isFirst)
   }
 
-  /**
-   * Entries that are kept after an outage go when their time is up, and not with the next list: boxes that do not read the list
-   * hear only that it is the same, and 28 of 30 kept an upstream that had left for as long as nothing else changed.
-   */
-  #awaitGraceEnd(): void {
+  /** Removes kept entries by a timer: after an unchanged list no further one may arrive. */
+  #scheduleGraceEnd(): void {
     const endsAt = returnGraceEnd(this.#state)
     if (endsAt === undefined || this.#graceTimer) return
     const { clock, onGone } = this.options
@@ -109,12 +118,15 @@
       this.#graceTimer = undefined
       const end = returnGraceEnd(this.#state)
       if (end !== undefined && end <= clock.now()) dropMissing(this.#state).forEach(onGone)
-      else this.#awaitGraceEnd()
+      else this.#scheduleGraceEnd()
     })
   }
 
-  /** One line for all: 98 lines took a starting box 1 ms longer, and all that its log may say in a second. */
-  #noteFirstList(): void {
+  /**
+   * Logs the first list in one line: a line for each entry would exceed the log's rate limit at
+   * startup.
+   */
+  #logFirstList(): void {
     const upstreams = this.#listed.map(({ id, service, version, address, state }) =>
       [id, service, version, address, state].join(' '),
     )
--- a/packages/gateway/test/storeReader.test.ts
+++ b/packages/gateway/test/storeReader.test.ts
@@ -7,8 +7,10 @@
   type StoreReaderOptions,
 } from '../src/index.js'
 
-/** A box that does not read for all, hears others, and has no proof younger than one from the start. */
-function startUntoldReader(newsWithin: Milliseconds, phase: Milliseconds) {
+/**
+ * Starts a reader on a box that is not a designated reader and gets no confirmation after time 0.
+ */
+function startUnconfirmedReader(newsWithin: Milliseconds, phase: Milliseconds) {
   const clock = new ManualClock()
   const reads: Milliseconds[] = []
   const note = (value: unknown) => {
@@ -46,20 +48,20 @@
   return { clock, reads, reader }
 }
 
-/** A request that was sent just before the news came reaches its upstream within this. */
+/** Time in which a request sent just before the read opens its connection. */
 const CONNECTION_OPENS_WITHIN = 200
-/** A read of the store and what follows it, on a busy box. */
-const READ_TAKES = 100
+/** Duration of a read and its processing on a busy box. */
+const READ_DURATION = 100
 
-describe('a box that is told nothing', () => {
-  it('reads for itself in time for what was sent before to arrive in time, too', async () => {
+describe('a box without confirmations', () => {
+  it('reads early enough for requests already sent to open their connections within the limit', async () => {
     for (const newsWithin of [2_000, 3_000, 4_000])
       for (let phase = 1; phase <= 121; phase += 40) {
-        const { clock, reads, reader } = startUntoldReader(newsWithin, phase)
+        const { clock, reads, reader } = startUnconfirmedReader(newsWithin, phase)
         await clock.advance(newsWithin)
         reader.stop()
-        const latest = newsWithin - CONNECTION_OPENS_WITHIN - READ_TAKES
-        // The operators' changes and the list.
+        const latest = newsWithin - CONNECTION_OPENS_WITHIN - READ_DURATION
+        // The second read: operator state and upstream list are both read by then.
         expect(reads[1], `${newsWithin} ms, phase ${phase}`).to.be.at.most(latest)
       }
   })
