--- a/packages/gateway/src/tasks/upstreamOutcomes.ts
+++ b/packages/gateway/src/tasks/upstreamOutcomes.ts
@@ -11,24 +11,25 @@
   clock: Clock
   log: EventLog
   metrics: GatewayMetrics
-  /** All upstreams that are listed. */
+  /** All listed upstreams. */
   all(): Iterable<Upstream>
-  /** An upstream takes no connections. */
+  /** Called when an upstream is ejected because it accepts no connections. */
   onUnreachable(upstream: Upstream): void
-  /** Another process answers at an upstream's address. */
+  /** Called when an upstream is ejected because another process answers at its address. */
   onGone(upstream: Upstream): void
 }
 
-/** A box that heard no other upstream for this long may itself be cut off: it blames none for that. */
-const HEARS_OTHERS_WITHIN: Milliseconds = 1_000
+/** If no other upstream was heard within this time, the box itself may be partitioned. */
+const OTHERS_HEARD_WITHIN: Milliseconds = 1_000
 
-/** Takes upstreams out of use by how exchanges with them went, against how they went with the others. */
+/** Outlier ejection: ejects upstreams whose exchanges fail more often than those of the others. */
 export class UpstreamOutcomes {
   constructor(private readonly options: UpstreamOutcomesOptions) {}
 
-  note(upstream: Upstream, seen: ExchangeOutcome): void {
+  note(upstream: Upstream, reported: ExchangeOutcome): void {
     const { clock, log, metrics, onUnreachable, onGone } = this.options
-    const outcome = seen === 'unreachable' && !this.#hearsOthers(upstream) ? 'lost' : seen
+    const outcome =
+      reported === 'unreachable' && !this.#hasHeardOthers(upstream) ? 'lost' : reported
     metrics.count('exchanges', outcome)
     const others = this.#othersBadShare(upstream)
     if (!noteExchange(upstream.health, outcome, others, clock.now())) return
@@ -49,8 +50,8 @@
     })
   }
 
-  #hearsOthers(upstream: Upstream): boolean {
-    const since = this.options.clock.now() - HEARS_OTHERS_WITHIN
+  #hasHeardOthers(upstream: Upstream): boolean {
+    const since = this.options.clock.now() - OTHERS_HEARD_WITHIN
     return [...this.options.all()].some(
       other => other !== upstream && other.health.lastHeardAt > since,
     )
--- a/packages/gateway/test/reachability.test.ts
+++ b/packages/gateway/test/reachability.test.ts
@@ -36,7 +36,7 @@
   }
 }
 
-/** A directory of two upstreams, and those that it gave up on. */
+/** Creates a directory of two upstreams, and records those reported as unreachable. */
 function createDirectory(clock: ManualClock) {
   const unreachable: string[] = []
   const directory = new UpstreamDirectory({
@@ -76,8 +76,8 @@
   return { directory, outcomes, unreachable, pick, one: pick(['two']), two: pick(['one']) }
 }
 
-describe('an upstream that cannot be reached', () => {
-  it('is sent nothing until it answers again', async () => {
+describe('an unreachable upstream', () => {
+  it('receives nothing until it is reachable again', async () => {
     const clock = new ManualClock()
     const { directory, outcomes, unreachable, pick, one, two } = createDirectory(clock)
     outcomes.note(one, 'unreachable')
@@ -89,7 +89,7 @@
     expect([...picked].sort()).to.deep.equal(['one', 'two'])
   })
 
-  it('is not blamed by a box that hears no other upstream either', async () => {
+  it('is not ejected by a box that has heard from no other upstream', async () => {
     const clock = new ManualClock()
     const { outcomes, unreachable, one } = createDirectory(clock)
     await clock.advance(5_000)
@@ -98,10 +98,10 @@
   })
 })
 
-describe('the watch for upstreams that cannot be reached', () => {
+describe('the reachability watch', () => {
   function createWatch(clock: ManualClock, answers: boolean[]) {
     const probes: number[] = []
-    const seen: string[] = []
+    const reported: string[] = []
     const watch = new ReachabilityWatch({
       clock,
       probe() {
@@ -109,8 +109,8 @@
         return Promise.resolve(answers.shift() ?? true)
       },
       isListed: () => true,
-      onUnreachable: () => void seen.push('unreachable'),
-      onReachable: () => void seen.push('reachable'),
+      onUnreachable: () => void reported.push('unreachable'),
+      onReachable: () => void reported.push('reachable'),
     })
     const upstream = { listed: listed('one'), health: createExchangeHealth(0) } as Upstream
     const look = async (until: number) => {
@@ -119,45 +119,45 @@
         watch.look(new Map([[upstream, 0]]))
       }
     }
-    return { watch, upstream, look, probes, seen }
+    return { watch, upstream, look, probes, reported }
   }
 
-  it('probes a silent one less and less often while it answers', async () => {
-    const { look, probes, seen } = createWatch(new ManualClock(), [])
+  it('doubles the silence before each probe while probes succeed', async () => {
+    const { look, probes, reported } = createWatch(new ManualClock(), [])
     await look(3_500)
     expect(probes).to.deep.equal([400, 800, 1_600, 3_200])
-    expect(seen).to.deep.equal([])
+    expect(reported).to.deep.equal([])
   })
 
-  it('tells of one that does not answer', async () => {
-    const { look, seen } = createWatch(new ManualClock(), [false])
+  it('reports an upstream whose probe fails', async () => {
+    const { look, reported } = createWatch(new ManualClock(), [false])
     await look(600)
-    expect(seen).to.deep.equal(['unreachable'])
+    expect(reported).to.deep.equal(['unreachable'])
   })
 
-  it('says nothing of one that spoke meanwhile', async () => {
+  it('restarts the silence when the upstream sends data', async () => {
     const clock = new ManualClock()
-    const { look, upstream, probes, seen } = createWatch(clock, [false])
+    const { look, upstream, probes, reported } = createWatch(clock, [false])
     await look(300)
     upstream.health.lastHeardAt = clock.now()
     await look(600)
     expect(probes).to.deep.equal([])
     await look(800)
-    expect(seen).to.deep.equal(['unreachable'])
+    expect(reported).to.deep.equal(['unreachable'])
   })
 
-  it('finds out when it is back, without a request', async () => {
+  it('probes an unreachable upstream until it is reachable, without a request', async () => {
     const clock = new ManualClock()
-    const { watch, upstream, probes, seen } = createWatch(clock, [false, false, true])
+    const { watch, upstream, probes, reported } = createWatch(clock, [false, false, true])
     watch.awaitReturn(upstream)
     await clock.advance(3_000)
     expect(probes).to.deep.equal([500, 1_000, 1_500])
-    expect(seen).to.deep.equal(['reachable'])
+    expect(reported).to.deep.equal(['reachable'])
   })
 })
 
 describe('a connection that does not open', () => {
-  it('fails in time', async () => {
+  it('fails after the time limit', async () => {
     const clock = new ManualClock()
     const socket = new Socket()
     let failure: Error | undefined
@@ -169,7 +169,7 @@
     expect(failure).to.be.instanceOf(UnreachableError)
   })
 
-  it('counts as such when it is refused', async () => {
+  it('fails a probe when it is refused', async () => {
     const clock = new ManualClock()
     const server = createServer()
     await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
