--- a/packages/gateway/src/requests/admitCaller.ts
+++ b/packages/gateway/src/requests/admitCaller.ts
@@ -7,18 +7,18 @@
 } from '@yewkeel/decisions'
 import type { CallerRequest, RequestFields } from '../types/ports.js'
 
-/** A request that may be sent on. */
+/** A request that may be forwarded to an upstream. */
 export interface AdmittedRequest {
   request: CallerRequest
   fields: RequestFields
   route: Route
   service: string
   organisation?: OrganisationKeys
-  /** The answer is of no use after this, or the operator wants the request held no longer. */
+  /** Arrival plus the shorter of the caller's timeout and the route's. */
   deadline: Milliseconds
 }
 
-/** Why a request is not sent on. */
+/** Why a request is rejected. */
 export interface Rejection {
   status: 401 | 404 | 503
   reason: RejectionReason
@@ -33,16 +33,16 @@
   | 'key-missing'
   | 'key-unknown'
 
-/** How fresh the box's copy of the configuration is, and how fresh it must be. */
+/** Age of the box's copy of the configuration, and its limits. */
 export interface Freshness {
   age: Milliseconds
-  /** A key may have been taken away since; undefined if nobody minds. */
-  keysWithin: Milliseconds | undefined
-  /** A route or key that is not in the copy may have been added since. */
-  refusalsWithin: Milliseconds
+  /** Above this age no key is accepted, since it may have been revoked. Undefined for no limit. */
+  maxKeyAge: Milliseconds | undefined
+  /** Above this age a missing route or key gets a 503, since it may have been added. */
+  maxRefusalAge: Milliseconds
 }
 
-/** Finds a request's route and organisation, or why it may not pass. */
+/** Resolves a request's route, service and organisation, or the reason for rejecting it. */
 export function admitCaller(
   request: CallerRequest,
   fields: RequestFields,
@@ -51,27 +51,27 @@
   random: () => number,
 ): AdmittedRequest | Rejection {
   if (!index) return { status: 503, reason: 'no-configuration' }
-  const isOld = freshness.age > freshness.refusalsWithin
+  const isStale = freshness.age > freshness.maxRefusalAge
   const refuse = (status: 401 | 404, reason: RejectionReason): Rejection =>
-    isOld ? { status: 503, reason: 'configuration-stale' } : { status, reason }
+    isStale ? { status: 503, reason: 'configuration-stale' } : { status, reason }
   const route = index.match(request.host, request.target)
   if (!route) return refuse(404, 'no-route')
   const needsKey = !route.isPublic && index.configuration.organisations !== undefined
   const organisation = fields.key === undefined ? undefined : index.organisationOf(fields.key)
   if (needsKey) {
-    if (freshness.keysWithin !== undefined && freshness.age > freshness.keysWithin)
+    if (freshness.maxKeyAge !== undefined && freshness.age > freshness.maxKeyAge)
       return { status: 503, reason: 'keys-stale' }
     if (fields.key === undefined) return refuse(401, 'key-missing')
     if (!organisation) return refuse(401, 'key-unknown')
   }
-  const patience = Math.min(fields.timeLeft ?? Infinity, route.timeout)
+  const timeout = Math.min(fields.timeLeft ?? Infinity, route.timeout)
   return {
     request,
     fields,
     route,
     service: pickTarget(route, random),
     ...(organisation && { organisation }),
-    deadline: request.receivedAt + patience,
+    deadline: request.receivedAt + timeout,
   }
 }
 
--- a/packages/gateway/src/requests/crashProbe.ts
+++ b/packages/gateway/src/requests/crashProbe.ts
@@ -4,20 +4,22 @@
 import type { Upstream } from '../types/upstream.js'
 import type { AdmittedRequest } from './admitCaller.js'
 
-/** A run of the request at an upstream. */
-export interface ProbedRun {
+/** One attempt of the request at an upstream. */
+export interface SentAttempt {
   upstream: Upstream
   send: SuspectSend
   sentAt: Milliseconds
 }
 
-/** An upstream whose process has ended refuses a probe within a few milliseconds; the next try waits no longer for the answer. */
-const CRASH_KNOWN_WITHIN: Milliseconds = 40
+/**
+ * How long the next attempt waits for the probe; a crashed process refuses it within milliseconds.
+ */
+const CRASH_PROBE_TIMEOUT: Milliseconds = 40
 
-/** Finds out whether an answer of one request broke off because its upstream's process has ended. */
+/** Probes upstreams whose answer to one request broke off, to tell a crash from another failure. */
 export class CrashProbe {
-  /** Resolves once that is known of the last answer that broke off, or has taken too long. */
-  lookedAt: Promise<void> = Promise.resolve()
+  /** Resolves when the last probe has finished or timed out. */
+  settled: Promise<void> = Promise.resolve()
 
   constructor(
     private readonly services: GatewayServices,
@@ -25,29 +27,32 @@
     private readonly suspect: SuspectRequest,
   ) {}
 
-  /** `onOpen` is called if the upstream goes on. The next run may be sent before this is known. */
-  look(run: ProbedRun, onOpen: () => void): void {
+  /**
+   * Probes an attempt's upstream: calls `onAlive` if it accepts connections, records a crash if it
+   * refuses them. The probe may outlast `settled`.
+   */
+  probe(attempt: SentAttempt, onAlive: () => void): void {
     const { reachability, clock } = this.services
-    const looking = reachability.check(run.upstream).then(seen => {
-      if (seen === 'open') onOpen()
-      else if (seen === 'refused') this.#noteCrash(run)
+    const probing = reachability.check(attempt.upstream).then(state => {
+      if (state === 'open') onAlive()
+      else if (state === 'refused') this.#recordCrash(attempt)
     })
-    this.lookedAt = new Promise(resolve => {
-      const timer = clock.after(CRASH_KNOWN_WITHIN, resolve)
-      void looking.then(() => {
+    this.settled = new Promise(resolve => {
+      const timer = clock.after(CRASH_PROBE_TIMEOUT, resolve)
+      void probing.then(() => {
         timer.cancel()
         resolve()
       })
     })
   }
 
-  /** Upstreams that leave as planned end, too, and a box that stood still finds all of its connections dead. */
-  #noteCrash({ upstream, send, sentAt }: ProbedRun): void {
+  /** Ignores planned exits, and connections that may have died while this box was paused. */
+  #recordCrash({ upstream, send, sentAt }: SentAttempt): void {
     const { log, metrics, clock, upstreams, pauses } = this.services
     const { listed, run } = upstream
-    const isLeaving =
+    const isDraining =
       upstream.said.isLeaving || listed.state !== 'ready' || !upstreams.isListed(upstream)
-    if (isLeaving || pauses.hasPausedSince(sentAt)) return
+    if (isDraining || pauses.hasPausedSince(sentAt)) return
     metrics.count('crashes', 'aboard')
     log.note('upstream-crashed', {
       upstream: run,
--- a/packages/gateway/src/requests/eventRelay.ts
+++ b/packages/gateway/src/requests/eventRelay.ts
@@ -2,19 +2,19 @@
 import type { CallerAnswer } from '../types/ports.js'
 
 /**
- * Passes the events of a stream on, whole and in order. When the stream goes on at another upstream, events
- * that the caller has already are left out.
+ * Relays the events of a stream to the caller, whole and in order. A stream that is resumed at
+ * another upstream has to continue after the last event sent.
  */
 export class EventRelay {
   #splitter = new EventSplitter()
   #lastId: number | undefined
   #started = false
-  /** The caller was told that it will see the end of the answer. */
+  /** The response to the caller is framed, so that the caller detects a truncated one. */
   isFramed = true
 
   constructor(private readonly answer: CallerAnswer) {}
 
-  /** The caller has received some of the answer. */
+  /** Part of the answer has been sent to the caller. */
   get hasStarted(): boolean {
     return this.#started
   }
@@ -23,33 +23,37 @@
     return this.#lastId === undefined ? undefined : String(this.#lastId)
   }
 
-  /** A new run begins: an event that the last one broke off is forgotten. */
-  beginRun(): void {
+  /** Discards the partial event of the previous attempt. */
+  beginAttempt(): void {
     this.#splitter = new EventSplitter()
   }
 
-  /** Takes bytes of the stream. `begin` writes the head before the first whole event. False: out of order. */
-  push(chunk: Buffer, begin: () => void): boolean {
-    const piece = this.#splitter.push(chunk)
-    if (!piece) return true
-    const from = firstEventId(piece)
-    if (from !== undefined && this.#lastId !== undefined && from !== this.#lastId + 1) return false
-    this.#lastId = lastEventId(piece) ?? this.#lastId
-    if (!this.#started) begin()
+  /**
+   * Relays the events that the chunk completes; `writeHead` precedes the first. False: out of
+   * order.
+   */
+  push(chunk: Buffer, writeHead: () => void): boolean {
+    const events = this.#splitter.push(chunk)
+    if (!events) return true
+    const firstId = firstEventId(events)
+    if (firstId !== undefined && this.#lastId !== undefined && firstId !== this.#lastId + 1)
+      return false
+    this.#lastId = lastEventId(events) ?? this.#lastId
+    if (!this.#started) writeHead()
     this.#started = true
-    this.answer.write(piece)
+    this.answer.write(events)
     return true
   }
 
-  /** Bytes of an event that is not whole. */
-  get hasRest(): boolean {
+  /** The stream so far ends within an event. */
+  get hasPartialEvent(): boolean {
     return this.#splitter.hasRest
   }
 }
 
-const ID = /(?:^|\n)id: ?(\d+)/
+const EVENT_ID = /(?:^|\n)id: ?(\d+)/
 
-function firstEventId(piece: Buffer): number | undefined {
-  const found = ID.exec(piece.toString('latin1'))?.[1]
+function firstEventId(events: Buffer): number | undefined {
+  const found = EVENT_ID.exec(events.toString('latin1'))?.[1]
   return found === undefined ? undefined : Number(found)
 }
--- a/packages/gateway/src/requests/exchangeWithUpstream.ts
+++ b/packages/gateway/src/requests/exchangeWithUpstream.ts
@@ -4,7 +4,7 @@
 import type { Upstream } from '../types/upstream.js'
 import type { AnswerFields, Dialect, RawHeaders } from '../types/ports.js'
 
-/** The status of whoever is not the process that the request names. */
+/** 421 Misdirected Request: the process is not the one that the request addresses. */
 export const MISDIRECTED = 421
 
 /** The head of an upstream's answer. */
@@ -14,10 +14,13 @@
   fields: AnswerFields
 }
 
-/** Why an exchange came to no whole answer. */
+/**
+ * Why an exchange got no complete answer: `foreign` answers another request, `silent` stalled,
+ * `spoiled` is malformed, and `unreachable` opened no connection.
+ */
 export type ExchangeFault = 'connect' | 'foreign' | 'reset' | 'silent' | 'spoiled' | 'unreachable'
 
-/** What a fault says of its upstream. */
+/** The outcome that a fault counts as in the upstream's health. */
 export const OUTCOME_OF_FAULT: Record<ExchangeFault, ExchangeOutcome> = {
   connect: 'lost',
   foreign: 'lost',
@@ -27,25 +30,25 @@
   unreachable: 'unreachable',
 }
 
-/** What is told of an exchange while it runs. All calls come from the event loop, never from `start`. */
+/** Callbacks of an exchange, called asynchronously only. */
 export interface ExchangeHandler {
-  /** False drops the answer: the exchange is cancelled. */
+  /** Returns false to cancel the exchange. */
   onHead(head: AnswerHead): boolean
   onChunk(chunk: Buffer): void
   onEnd(): void
   onFault(fault: ExchangeFault, wasSent: boolean, detail: string): void
 }
 
-/** One request under way at an upstream, with what is needed to see that it has stalled. */
+/** A request in flight at an upstream, with the times that stall detection needs. */
 export interface RunningExchange {
   upstream: Upstream
   startedAt: Milliseconds
-  /** Of the last bytes of the answer, or of the start. */
+  /** Time of the last received bytes, or of the start. */
   lastBytesAt: Milliseconds
   cancel(): void
 }
 
-/** Sends a request to an upstream and checks that the answer is the one to it. */
+/** Sends a request to an upstream and checks that the answer carries the request's `id`. */
 export function exchangeWithUpstream(
   upstream: Upstream,
   request: ExchangeRequest,
@@ -70,13 +73,13 @@
       if (finish()) exchange.cancel()
     },
   }
-  const hear = () => {
+  const recordBytes = () => {
     running.lastBytesAt = now()
     upstream.health.lastHeardAt = running.lastBytesAt
   }
   const exchange: Exchange = upstream.channels.send(request, {
     onHead(status, headers) {
-      hear()
+      recordBytes()
       const fields = dialect.readAnswer(headers)
       if (fields.id !== undefined && fields.id !== id) {
         running.cancel()
@@ -86,7 +89,7 @@
       if (!handler.onHead({ status, headers, fields })) running.cancel()
     },
     onChunk(chunk) {
-      hear()
+      recordBytes()
       if (!isOver) handler.onChunk(chunk)
     },
     onEnd() {
@@ -94,8 +97,8 @@
     },
     onFailure(error, wasSent) {
       if (!finish()) return
-      const unsent = isUnreachable(error) ? 'unreachable' : 'connect'
-      handler.onFault(wasSent ? 'reset' : unsent, wasSent, error.message)
+      const connectFault = isUnreachable(error) ? 'unreachable' : 'connect'
+      handler.onFault(wasSent ? 'reset' : connectFault, wasSent, error.message)
     },
   })
   return running
--- a/packages/gateway/src/requests/forwardCall.ts
+++ b/packages/gateway/src/requests/forwardCall.ts
@@ -3,89 +3,90 @@
 import { MISDIRECTED, type AnswerHead, type ExchangeFault } from './exchangeWithUpstream.js'
 import type { ForwardedRequest } from './forwardedRequest.js'
 
-/** A try at a call came to no whole answer. */
+/** An attempt that got no complete answer. */
 interface CallFault {
   type: 'fault'
   fault: ExchangeFault
-  /** The upstream may have run it. */
+  /** The upstream may have processed the request. */
   wasSent: boolean
   detail: string
 }
 
-/** How one try at a call ended. `over`: the request ended meanwhile, for another reason. */
+/** How one attempt ended. `over`: the request finished for another reason, such as its deadline. */
 type CallOutcome = { type: 'answer'; head: AnswerHead; body: Buffer } | CallFault | { type: 'over' }
 
-/** A whole answer and what it is worth. */
+/** A complete answer and its classification. */
 interface WholeAnswer {
   kind: AnswerKind
   head: AnswerHead
   body: Buffer
 }
 
-/** Forwards a call whose answer is passed on whole, trying again where the route allows it. */
-export async function forwardCall(run: ForwardedRequest): Promise<void> {
+/** Forwards a call and delivers the complete answer, with retries where the route allows them. */
+export async function forwardCall(request: ForwardedRequest): Promise<void> {
   let last: WholeAnswer | undefined
-  while ((await run.mayRun()) && run.takeTry()) {
-    const upstream = await run.findUpstream()
-    if (run.isOver) return
+  while ((await request.mayRun()) && request.takeAttempt()) {
+    const upstream = await request.findUpstream()
+    if (request.isOver) return
     if (!upstream) break
-    const { clock } = run.services
+    const { clock } = request.services
     const sentAt = clock.now()
-    const outcome = await tryCall(run, upstream)
-    const took = clock.now() - sentAt
+    const outcome = await attemptCall(request, upstream)
+    const duration = clock.now() - sentAt
     if (outcome.type === 'over') return
     last =
       outcome.type === 'fault'
-        ? noteFault(run, upstream, outcome, took)
-        : noteAnswer(run, upstream, outcome, took)
-    if (last?.kind === 'answer') return run.deliver(last.head, last.body)
-    if (run.mayHaveRun && run.route.kind !== 'safe') break
+        ? recordFault(request, upstream, outcome, duration)
+        : recordAnswer(request, upstream, outcome, duration)
+    if (last?.kind === 'answer') return request.deliver(last.head, last.body)
+    if (request.mayHaveRun && request.route.kind !== 'safe') break
   }
-  await run.lookedAt()
-  if (run.isOver) return
-  if (last?.kind === 'failure' && !PROMISES_NOT_RUN.has(last.head.status))
-    return run.deliver(last.head, last.body)
-  run.giveUp(run.mayHaveRun ? 'no whole answer came' : 'no upstream took the request')
+  await request.awaitCrashProbe()
+  if (request.isOver) return
+  if (last?.kind === 'failure' && !NOT_RUN_STATUSES.has(last.head.status))
+    return request.deliver(last.head, last.body)
+  request.fail(request.mayHaveRun ? 'no whole answer came' : 'no upstream took the request')
 }
 
-function noteFault(
-  run: ForwardedRequest,
+function recordFault(
+  request: ForwardedRequest,
   upstream: Upstream,
   outcome: CallFault,
-  took: Milliseconds,
+  duration: Milliseconds,
 ): undefined {
-  const seen = outcome.fault === 'unreachable' ? 'unreachable' : 'lost'
-  run.noteTry(upstream, seen, `${outcome.fault}: ${outcome.detail}`)
-  if (!outcome.wasSent) run.noteUnsent()
-  else if (outcome.fault === 'reset') run.noteBroken(upstream)
-  else if (outcome.fault === 'silent') run.noteUnfinished(upstream, undefined, 'start', took)
-  else if (outcome.fault !== 'unreachable') run.noteAnswer(upstream, false)
+  const healthOutcome = outcome.fault === 'unreachable' ? 'unreachable' : 'lost'
+  request.recordAttempt(upstream, healthOutcome, `${outcome.fault}: ${outcome.detail}`)
+  if (!outcome.wasSent) request.recordUnsent()
+  else if (outcome.fault === 'reset') request.recordReset(upstream)
+  else if (outcome.fault === 'silent')
+    request.recordUnfinished(upstream, undefined, 'start', duration)
+  else if (outcome.fault !== 'unreachable') request.recordAnswer(upstream, false)
 }
 
-function noteAnswer(
-  run: ForwardedRequest,
+function recordAnswer(
+  request: ForwardedRequest,
   upstream: Upstream,
   { head, body }: { head: AnswerHead; body: Buffer },
-  took: Milliseconds,
+  duration: Milliseconds,
 ): WholeAnswer {
-  const kind = judge(head)
-  if (run.isMisdirected(head, upstream)) {
-    run.noteMisdirected(upstream)
+  const kind = classify(head)
+  if (request.isMisdirected(head, upstream)) {
+    request.recordMisdirected(upstream)
     return { kind, head, body }
   }
-  run.noteTry(upstream, OUTCOME_OF[kind], `${kind} ${head.status}`)
+  request.recordAttempt(upstream, OUTCOME_OF[kind], `${kind} ${head.status}`)
   if (kind === 'not-run') {
-    run.noteRefusal()
+    request.recordRefusal()
   } else {
-    run.noteAnswer(upstream, kind === 'answer')
-    if (kind !== 'spoiled') run.noteWhole(head)
-    if (kind === 'answer') run.noteTime(upstream, undefined, 'start', took)
+    request.recordAnswer(upstream, kind === 'answer')
+    if (kind !== 'spoiled') request.recordCompletion(head)
+    if (kind === 'answer') request.recordTime(upstream, undefined, 'start', duration)
   }
   return { kind, head, body }
 }
 
-/** Statuses by which a caller is told that its request has not run. */
-const PROMISES_NOT_RUN = new Set([408, MISDIRECTED, 429, 503])
+/** Statuses that tell a caller that its request was not processed. */
+const NOT_RUN_STATUSES = new Set([408, MISDIRECTED, 429, 503])
 
 type AnswerKind = 'answer' | 'failure' | 'not-run' | 'spoiled'
 
@@ -98,22 +99,25 @@
 
 const FIRST_SERVER_ERROR = 500
 
-function judge({ status, fields }: AnswerHead): AnswerKind {
+function classify({ status, fields }: AnswerHead): AnswerKind {
   if (fields.isNotRun) return 'not-run'
   if (!fields.isSigned || fields.isEncoded) return 'spoiled'
-  if (status >= FIRST_SERVER_ERROR || PROMISES_NOT_RUN.has(status)) return 'failure'
+  if (status >= FIRST_SERVER_ERROR || NOT_RUN_STATUSES.has(status)) return 'failure'
   return 'answer'
 }
 
-/** A safe call that has not begun to answer by this share of its objective is sent elsewhere. */
-const PATIENCE_SHARE = 0.6
+/**
+ * An idempotent call without response headers is retried after this fraction of its latency
+ * objective.
+ */
+const RETRY_DELAY_FRACTION = 0.6
 
-function tryCall(run: ForwardedRequest, upstream: Upstream): Promise<CallOutcome> {
+function attemptCall(request: ForwardedRequest, upstream: Upstream): Promise<CallOutcome> {
   return new Promise(resolve => {
     const chunks: Buffer[] = []
     let head: AnswerHead | undefined
-    const { clock, upstreams } = run.services
-    const exchange = run.send(
+    const { clock, upstreams } = request.services
+    const exchange = request.send(
       upstream,
       {},
       {
@@ -127,10 +131,10 @@
         onFault: (fault, wasSent, detail) => resolve({ type: 'fault', fault, wasSent, detail }),
       },
     )
-    run.onOver(() => resolve({ type: 'over' }))
-    if (run.route.kind !== 'safe') return
-    clock.after(PATIENCE_SHARE * run.route.latencyObjective, () => {
-      if (head || !run.hasTry()) return
+    request.onFinish(() => resolve({ type: 'over' }))
+    if (request.route.kind !== 'safe') return
+    clock.after(RETRY_DELAY_FRACTION * request.route.latencyObjective, () => {
+      if (head || !request.canAttempt()) return
       exchange.cancel()
       resolve({ type: 'fault', fault: 'silent', wasSent: true, detail: 'no head in time' })
     })
--- a/packages/gateway/src/requests/forwardStream.ts
+++ b/packages/gateway/src/requests/forwardStream.ts
@@ -11,7 +11,7 @@
 import type { ForwardedRequest } from './forwardedRequest.js'
 import type { WatchedStream } from './stallWatch.js'
 
-/** How one try at a stream ended. */
+/** How one attempt ended. `over`: the request finished for another reason, such as its deadline. */
 type StreamOutcome =
   | { type: 'complete' }
   | { type: 'doubted'; confidence: number; next: string }
@@ -19,117 +19,117 @@
   | { type: 'fault'; fault: ExchangeFault; wasSent: boolean; detail: string }
   | { type: 'over' }
 
-/** A pause beyond what an engine's unread prompts explain, as a share of the longest pause in time ... */
-const SILENT_UPSTREAM_SHARE = 0.6
-/** ... and one that is too long whatever the engine is busy with. */
-const SILENT_STREAM_SHARE = 2.5
-/** Before the first event, shares of the latency objective. */
-const FIRST_SILENT_UPSTREAM_SHARE = 0.4
-const FIRST_SILENT_STREAM_SHARE = 1.5
-const DEFAULT_PAUSE = 1_000
+/** Stall thresholds between chunks, as multiples of the route's pause objective. */
+const UPSTREAM_STALL_FRACTION = 0.6
+const STREAM_STALL_FACTOR = 2.5
+/** Stall thresholds before the first chunk, as multiples of the latency objective. */
+const FIRST_EVENT_UPSTREAM_STALL_FRACTION = 0.4
+const FIRST_EVENT_STREAM_STALL_FACTOR = 1.5
+const DEFAULT_PAUSE_OBJECTIVE = 1_000
+/** Chunks after which the pace of an answer, its mean time between chunks, is sampled. */
+const PACE_SAMPLE_CHUNKS = 16
+/** Chunks that a shorter answer needs for a sample. */
+const MIN_PACE_CHUNKS = 3
+
 /**
- * After so many pieces an answer's pace is known, and need not wait for its end: 0.6 s of a usual one, where the longest run
- * for 20 s.
+ * Forwards a request whose answer is a stream of events; a broken stream is resumed if the route
+ * allows it.
  */
-const PACE_PIECES = 16
-/** Two pauses tell a pace, one does not. */
-const LEAST_PACE_PIECES = 3
-
-/** Forwards a request whose answer is a stream of events. */
-export async function forwardStream(run: ForwardedRequest): Promise<void> {
-  const relay = new EventRelay(run.answer)
-  const { models } = run.route
-  const isResumable = run.route.isResumable
+export async function forwardStream(request: ForwardedRequest): Promise<void> {
+  const relay = new EventRelay(request.answer)
+  const { models } = request.route
+  const isResumable = request.route.isResumable
   let model = models[0]
   let last: { head: AnswerHead; body: Buffer } | undefined
-  run.onDeadline(() => {
-    if (relay.hasStarted) breakOff(run, 'out of time')
+  request.onDeadline(() => {
+    if (relay.hasStarted) abortAnswer(request, 'out of time')
   })
-  while ((await run.mayRun(relay.hasStarted)) && run.takeTry()) {
-    const prompt = run.services.work.promptWork(run.admitted.fields, model ?? '', models)
-    const upstream = await run.findUpstream(prompt)
-    if (run.isOver) return
+  while ((await request.mayRun(relay.hasStarted)) && request.takeAttempt()) {
+    const prompt = request.services.work.promptWork(request.admitted.fields, model ?? '', models)
+    const upstream = await request.findUpstream(prompt)
+    if (request.isOver) return
     if (!upstream) break
-    const outcome = await tryStream(run, upstream, prompt, relay)
+    const outcome = await attemptStream(request, upstream, prompt, relay)
     if (outcome.type === 'over') return
     if (outcome.type === 'complete') {
-      run.answer.end()
-      run.finish('delivered', 200)
+      request.answer.end()
+      request.finish('delivered', 200)
       return
     }
     if (outcome.type === 'doubted') {
-      run.forgiveLastTry()
+      request.allowLastUpstream()
       model = outcome.next
       continue
     }
     last = outcome.type === 'answer' ? outcome : undefined
-    if (run.mayHaveRun && !isResumable) break
+    if (request.mayHaveRun && !isResumable) break
   }
-  await run.lookedAt()
-  if (run.isOver) return
-  if (relay.hasStarted) return breakOff(run, 'the stream broke and could not go on elsewhere')
+  await request.awaitCrashProbe()
+  if (request.isOver) return
+  if (relay.hasStarted)
+    return abortAnswer(request, 'the stream broke and could not go on elsewhere')
   if (last && !last.head.fields.isNotRun && last.head.fields.isSigned && last.head.status === 500)
-    return run.deliver(last.head, last.body)
-  run.giveUp(run.mayHaveRun ? 'no answer began' : 'no upstream took the request')
+    return request.deliver(last.head, last.body)
+  request.fail(request.mayHaveRun ? 'no answer began' : 'no upstream took the request')
 }
 
-/** Ends an answer that has begun, so that it does not look complete. */
-function breakOff(run: ForwardedRequest, reason: string): void {
-  run.answer.abort()
-  run.finish(reason, undefined)
+/** Aborts an answer that has begun, so that the caller does not take it for complete. */
+function abortAnswer(request: ForwardedRequest, reason: string): void {
+  request.answer.abort()
+  request.finish(reason, undefined)
 }
 
-function tryStream(
-  run: ForwardedRequest,
+function attemptStream(
+  request: ForwardedRequest,
   upstream: Upstream,
   prompt: PromptWork,
   relay: EventRelay,
 ): Promise<StreamOutcome> {
   return new Promise(resolve => {
-    new StreamTry(run, upstream, prompt, relay, resolve).start()
+    new StreamAttempt(request, upstream, prompt, relay, resolve).start()
   })
 }
 
-/** One run of a streamed answer at one upstream. */
-class StreamTry {
+/** One attempt at a streamed answer, at one upstream. */
+class StreamAttempt {
   readonly #body: Buffer[] = []
   #head: AnswerHead | undefined
   #watched: WatchedStream | undefined
-  #firstEvent: number | undefined
-  #lastPiece: number | undefined
+  #firstEventAt: number | undefined
+  #lastChunkAt: number | undefined
   #isSettled = false
-  #pieces = 0
+  #chunkCount = 0
   #hasPace = false
-  #reading: ReadingPrompt | undefined
+  #prefill: ReadingPrompt | undefined
   readonly #startedAt: number
 
   constructor(
-    private readonly run: ForwardedRequest,
+    private readonly request: ForwardedRequest,
     private readonly upstream: Upstream,
     private readonly prompt: PromptWork,
     private readonly relay: EventRelay,
     private readonly resolve: (outcome: StreamOutcome) => void,
   ) {
-    this.#startedAt = run.services.clock.now()
+    this.#startedAt = request.services.clock.now()
   }
 
-  /** Undefined where the caller names the model. */
+  /** Undefined if the caller chose the model. */
   get #model(): string | undefined {
     return this.prompt.model || undefined
   }
 
   start(): void {
-    const { run, upstream, relay } = this
+    const { request, upstream, relay } = this
     const model = this.#model
-    relay.beginRun()
-    const { promptTokens } = run.admitted.fields
+    relay.beginAttempt()
+    const { promptTokens } = request.admitted.fields
     const { id, service, version } = upstream.listed
-    const isUsual = !run.services.rollouts.isOnTrial(service, version)
-    this.#reading = run.services.work.begin(id, this.prompt, promptTokens, isUsual)
-    run.onOver(() => this.#endEarly())
-    const lastEventId = relay.lastId ?? run.admitted.fields.lastEventId
-    const source = run.services.upstreams.copySource(this.prompt, upstream)
-    const exchange = run.send(
+    const isUsual = !request.services.rollouts.isOnTrial(service, version)
+    this.#prefill = request.services.work.begin(id, this.prompt, promptTokens, isUsual)
+    request.onFinish(() => this.#endEarly())
+    const lastEventId = relay.lastId ?? request.admitted.fields.lastEventId
+    const source = request.services.upstreams.copySource(this.prompt, upstream)
+    const exchange = request.send(
       upstream,
       {
         ...(model !== undefined && { model }),
@@ -137,135 +137,141 @@
         ...(source && { copyFrom: source.listed.address }),
       },
       {
-        onHead: head => this.#takeHead(head),
-        onChunk: chunk => this.#takeChunk(chunk),
-        onEnd: () => this.#takeEnd(),
+        onHead: head => this.#handleHead(head),
+        onChunk: chunk => this.#handleChunk(chunk),
+        onEnd: () => this.#handleEnd(),
         onFault: (fault, wasSent, detail) => this.#fail(fault, wasSent, detail),
       },
     )
-    const { latencyObjective } = run.route
+    const { latencyObjective } = request.route
     this.#watched = {
       exchange,
-      expected: () => run.services.work.waiting(id),
-      silentUpstream: FIRST_SILENT_UPSTREAM_SHARE * latencyObjective,
-      silentStream: FIRST_SILENT_STREAM_SHARE * latencyObjective,
-      onStall: pause => this.#stall(pause),
+      expectedDelay: () => request.services.work.waiting(id),
+      upstreamStallAfter: FIRST_EVENT_UPSTREAM_STALL_FRACTION * latencyObjective,
+      streamStallAfter: FIRST_EVENT_STREAM_STALL_FACTOR * latencyObjective,
+      onStall: pause => this.#handleStall(pause),
     }
-    run.services.stalls.add(this.#watched)
+    request.services.stalls.add(this.#watched)
   }
 
-  #takeHead(head: AnswerHead): boolean {
-    const { run, upstream } = this
+  #handleHead(head: AnswerHead): boolean {
+    const { request, upstream } = this
     const model = this.#model
     this.#head = head
-    if (head.fields.load !== undefined) run.services.upstreams.noteLoad(upstream, head.fields.load)
+    if (head.fields.load !== undefined)
+      request.services.upstreams.noteLoad(upstream, head.fields.load)
     if (!isStream(head)) return true
-    if (this.#reading) run.noteTime(upstream, model, 'start', this.#reading.answered())
-    if (head.fields.confidence !== undefined) this.#compareOpinions(head.fields.confidence)
+    if (this.#prefill) request.recordTime(upstream, model, 'start', this.#prefill.answered())
+    if (head.fields.confidence !== undefined) this.#recordConfidence(head.fields.confidence)
     const next = this.#largerModel(head, model)
     if (next === undefined) return true
-    run.noteTry(upstream, 'good', `confidence ${head.fields.confidence}`)
-    run.noteAnswer(upstream, true)
+    request.recordAttempt(upstream, 'good', `confidence ${head.fields.confidence}`)
+    request.recordAnswer(upstream, true)
     this.#settle({ type: 'doubted', confidence: head.fields.confidence ?? 0, next })
     return false
   }
 
-  /** The model to ask instead, if this answer is doubtful and another can be asked. */
+  /** The larger model to escalate to, if the confidence is too low and time and attempts allow it. */
   #largerModel(head: AnswerHead, model: string | undefined): string | undefined {
-    const { run, relay } = this
-    if (model === undefined || relay.hasStarted || !run.hasTry()) return undefined
-    const { settings, gains, clock } = run.services
+    const { request, relay } = this
+    if (model === undefined || relay.hasStarted || !request.canAttempt()) return undefined
+    const { settings, gains, clock } = request.services
     return nextModel({
-      models: run.route.models,
+      models: request.route.models,
       model,
       confidence: head.fields.confidence,
       threshold: settings.confidenceThreshold,
       gains,
-      beginsWithin: name => run.beginsWithin(name),
-      timeLeft: run.admitted.request.receivedAt + run.route.latencyObjective - clock.now(),
+      beginsWithin: name => request.estimateTimeToFirstToken(name),
+      timeLeft: request.admitted.request.receivedAt + request.route.latencyObjective - clock.now(),
     })
   }
 
-  /** Learns from two models' opinions of their answers to the same request. */
-  #compareOpinions(confidence: number): void {
-    const { run } = this
+  /** Records the confidence gain between two models that answered the same request. */
+  #recordConfidence(confidence: number): void {
+    const { request } = this
     const model = this.#model
-    run.noteConfidence(confidence)
+    request.recordConfidence(confidence)
     if (model === undefined) return
-    const { doubted } = run
-    if (doubted && doubted.model !== model)
-      noteConfidences(run.services.gains, doubted, { model, confidence })
-    run.doubted = { model, confidence }
+    const { lastConfidence } = request
+    if (lastConfidence && lastConfidence.model !== model)
+      noteConfidences(request.services.gains, lastConfidence, { model, confidence })
+    request.lastConfidence = { model, confidence }
   }
 
-  #takeChunk(chunk: Buffer): void {
+  #handleChunk(chunk: Buffer): void {
     const head = this.#head!
     if (!isStream(head)) {
       this.#body.push(chunk)
       return
     }
-    this.#notePiece()
+    this.#recordChunk()
     const isInOrder = this.relay.push(chunk, () => {
-      const { run, relay } = this
+      const { request, relay } = this
       relay.isFramed = head.fields.isFramed
-      run.answer.start(head.status, run.services.dialect.writeAnswer(head.headers), relay.isFramed)
+      request.answer.start(
+        head.status,
+        request.services.dialect.writeAnswer(head.headers),
+        relay.isFramed,
+      )
     })
     if (!isInOrder) this.#cancelAndFail('spoiled', 'an event was out of order')
   }
 
-  #notePiece(): void {
+  #recordChunk(): void {
     const now = this.#sinceStart()
-    this.run.notePiece(this.#lastPiece === undefined ? undefined : now - this.#lastPiece)
-    this.#lastPiece = now
-    this.#pieces++
-    if (this.#pieces === PACE_PIECES) this.#notePace()
-    if (this.#firstEvent !== undefined) return
-    this.#firstEvent = now
-    const pause = this.run.route.pauseObjective ?? DEFAULT_PAUSE
-    this.#watched!.silentUpstream = SILENT_UPSTREAM_SHARE * pause
-    this.#watched!.silentStream = SILENT_STREAM_SHARE * pause
+    this.request.recordChunk(this.#lastChunkAt === undefined ? undefined : now - this.#lastChunkAt)
+    this.#lastChunkAt = now
+    this.#chunkCount++
+    if (this.#chunkCount === PACE_SAMPLE_CHUNKS) this.#recordPace()
+    if (this.#firstEventAt !== undefined) return
+    this.#firstEventAt = now
+    const pause = this.request.route.pauseObjective ?? DEFAULT_PAUSE_OBJECTIVE
+    this.#watched!.upstreamStallAfter = UPSTREAM_STALL_FRACTION * pause
+    this.#watched!.streamStallAfter = STREAM_STALL_FACTOR * pause
   }
 
-  #takeEnd(): void {
-    const { run, upstream, relay } = this
+  #handleEnd(): void {
+    const { request, upstream, relay } = this
     const head = this.#head!
-    if (!isStream(head)) return this.#takeWhole(head)
-    if (relay.hasRest || !relay.hasStarted) return this.#fail('reset', true, 'it ended early')
+    if (!isStream(head)) return this.#handleErrorResponse(head)
+    if (relay.hasPartialEvent || !relay.hasStarted)
+      return this.#fail('reset', true, 'it ended early')
     if (relay.isFramed && !head.fields.isFramed)
       return this.#fail('spoiled', true, 'its end cannot be seen')
-    run.noteTry(upstream, 'good', 'complete')
-    run.noteAnswer(upstream, true)
-    run.noteWhole(head)
-    if (this.#pieces >= LEAST_PACE_PIECES) this.#notePace()
+    request.recordAttempt(upstream, 'good', 'complete')
+    request.recordAnswer(upstream, true)
+    request.recordCompletion(head)
+    if (this.#chunkCount >= MIN_PACE_CHUNKS) this.#recordPace()
     this.#settle({ type: 'complete' })
   }
 
-  /** An answer that is no stream: a refusal or a failure. */
-  #takeWhole(head: AnswerHead): void {
-    const { run, upstream } = this
+  /** Handles an answer that is not a stream: a rejection or an error. */
+  #handleErrorResponse(head: AnswerHead): void {
+    const { request, upstream } = this
     const { isNotRun } = head.fields
-    if (run.isMisdirected(head, upstream)) {
-      run.noteMisdirected(upstream)
+    if (request.isMisdirected(head, upstream)) {
+      request.recordMisdirected(upstream)
       return this.#settle({ type: 'answer', head, body: Buffer.concat(this.#body) })
     }
     const outcome: ExchangeOutcome = isNotRun ? 'shed' : 'failed'
-    run.noteTry(upstream, outcome, `status ${head.status}`)
+    request.recordAttempt(upstream, outcome, `status ${head.status}`)
     if (isNotRun) {
-      run.noteRefusal()
+      request.recordRefusal()
     } else {
-      run.noteAnswer(upstream, false)
-      run.noteWhole(head)
+      request.recordAnswer(upstream, false)
+      request.recordCompletion(head)
     }
     this.#settle({ type: 'answer', head, body: Buffer.concat(this.#body) })
   }
 
   #fail(fault: ExchangeFault, wasSent: boolean, detail: string): void {
-    const { run, upstream } = this
-    run.noteTry(upstream, OUTCOME_OF_FAULT[fault], `${fault}: ${detail}`)
-    if (!wasSent) run.noteUnsent()
-    else if (fault === 'reset') run.noteBroken(upstream)
-    else if (fault === 'silent') this.#noteUnfinished()
-    else if (fault !== 'unreachable') run.noteAnswer(upstream, false)
+    const { request, upstream } = this
+    request.recordAttempt(upstream, OUTCOME_OF_FAULT[fault], `${fault}: ${detail}`)
+    if (!wasSent) request.recordUnsent()
+    else if (fault === 'reset') request.recordReset(upstream)
+    else if (fault === 'silent') this.#recordUnfinished()
+    else if (fault !== 'unreachable') request.recordAnswer(upstream, false)
     this.#settle({ type: 'fault', fault, wasSent, detail })
   }
 
@@ -274,49 +280,53 @@
     this.#fail(fault, true, detail)
   }
 
-  /** Moves a stalled stream elsewhere, if that may be done. */
-  #stall(pause: number): boolean {
-    const { run } = this
-    if (!run.route.isResumable || !run.hasTry()) return false
+  /**
+   * Ends a stalled attempt if the stream may be resumed at another upstream. Returns whether it
+   * did.
+   */
+  #handleStall(pause: number): boolean {
+    const { request } = this
+    if (!request.route.isResumable || !request.canAttempt()) return false
     const fault = this.upstream.health.isUnreachable ? 'unreachable' : 'silent'
     this.#cancelAndFail(fault, `nothing came for ${Math.round(pause)} ms`)
     return true
   }
 
-  /** How fast the answer goes on, once. */
-  #notePace(): void {
-    if (this.#hasPace || this.#firstEvent === undefined) return
+  /** Records the mean time between chunks, once per attempt. */
+  #recordPace(): void {
+    if (this.#hasPace || this.#firstEventAt === undefined) return
     this.#hasPace = true
-    const pace = (this.#sinceStart() - this.#firstEvent) / (this.#pieces - 1)
-    this.run.noteTime(this.upstream, this.#model, 'pace', pace)
+    const pace = (this.#sinceStart() - this.#firstEventAt) / (this.#chunkCount - 1)
+    this.request.recordTime(this.upstream, this.#model, 'pace', pace)
   }
 
-  /** An answer that was given up for its slowness never comes to its end, and counts by how long it took until then. */
-  #noteUnfinished(): void {
-    const { run, upstream } = this
+  /** Records a cancelled attempt as a lower bound of its time to first event or of its pace. */
+  #recordUnfinished(): void {
+    const { request, upstream } = this
     if (!this.#head) {
-      if (this.#reading) run.noteUnfinished(upstream, this.#model, 'start', this.#reading.waited())
-    } else if (!this.#hasPace && this.#firstEvent !== undefined) {
-      const paceSoFar = (this.#sinceStart() - this.#firstEvent) / this.#pieces
-      run.noteUnfinished(upstream, this.#model, 'pace', paceSoFar)
+      if (this.#prefill)
+        request.recordUnfinished(upstream, this.#model, 'start', this.#prefill.waited())
+    } else if (!this.#hasPace && this.#firstEventAt !== undefined) {
+      const paceSoFar = (this.#sinceStart() - this.#firstEventAt) / this.#chunkCount
+      request.recordUnfinished(upstream, this.#model, 'pace', paceSoFar)
     }
   }
 
   #sinceStart(): number {
-    return this.run.services.clock.now() - this.#startedAt
+    return this.request.services.clock.now() - this.#startedAt
   }
 
-  /** The request ended, for another reason than this try. */
+  /** The request finished for another reason. */
   #endEarly(): void {
     if (this.#isSettled) return
-    this.#noteUnfinished()
+    this.#recordUnfinished()
     this.#settle({ type: 'over' })
   }
 
   #settle(outcome: StreamOutcome): void {
     this.#isSettled = true
-    this.#reading?.end()
-    if (this.#watched) this.run.services.stalls.remove(this.#watched)
+    this.#prefill?.end()
+    if (this.#watched) this.request.services.stalls.remove(this.#watched)
     this.resolve(outcome)
   }
 }
--- a/packages/gateway/src/requests/forwardedRequest.ts
+++ b/packages/gateway/src/requests/forwardedRequest.ts
@@ -10,7 +10,7 @@
 import type { AnswerKey, TimedAspect } from '../tasks/versionJudge.js'
 import type { Upstream } from '../types/upstream.js'
 import type { AdmittedRequest } from './admitCaller.js'
-import { CrashProbe, type ProbedRun } from './crashProbe.js'
+import { CrashProbe, type SentAttempt } from './crashProbe.js'
 import {
   exchangeWithUpstream,
   MISDIRECTED,
@@ -18,38 +18,40 @@
   type ExchangeHandler,
   type RunningExchange,
 } from './exchangeWithUpstream.js'
-import { TryAccount } from './tryAccount.js'
-import { TryLog } from './tryLog.js'
+import { AttemptTracker } from './tryAccount.js'
+import { AttemptLog } from './tryLog.js'
 import { UpstreamSearch } from './upstreamSearch.js'
 
-/** To a request that is run no more. */
-const CONDEMNED = 502
+/** Status for a quarantined request. */
+const QUARANTINED_STATUS = 502
+/** Status for a request that no upstream has processed. */
+const NOT_RUN_STATUS = 503
 
-/** To a request that no upstream has run. */
-const NOT_RUN = 503
+/** Time reserved for the network round trip to the upstream. */
+const ROUND_TRIP_ALLOWANCE: Milliseconds = 8
 
-/** Time that is kept back for the way to the upstream and back. */
-const TIME_KEPT_BACK: Milliseconds = 8
 /**
- * A request on its way: which upstreams it was sent to, whether it may have run, and its one final answer.
+ * A request being forwarded: its attempts, whether an upstream may have processed it, and its
+ * single answer.
  */
 export class ForwardedRequest {
-  /** Runs of upstreams that are not tried again. */
+  /** Upstream processes that are excluded from further attempts. */
   readonly tried: string[] = []
-  readonly #tries: TryAccount
+  readonly #attempts: AttemptTracker
   isOver = false
-  readonly #log: TryLog
+  readonly #attemptLog: AttemptLog
   readonly #suspect: SuspectRequest
-  readonly #crashes: CrashProbe
-  /** The newest run at an upstream. */
-  #sent: ProbedRun | undefined
-  /** Versions that the request may run on, the same for all of its tries unless one of them is rolled back. */
+  readonly #crashProbe: CrashProbe
+  #lastAttempt: SentAttempt | undefined
+  /**
+   * Versions that the request may use: the same for all attempts unless one of them is rolled back.
+   */
   readonly admits: (version: string) => boolean
-  /** The newest opinion that a model gave of its answer to this request. */
-  doubted: { model: string; confidence: number } | undefined
+  /** The last model that reported a confidence for this request. */
+  lastConfidence: { model: string; confidence: number } | undefined
   #exchange: RunningExchange | undefined
   readonly #timer: { cancel(): void }
-  #onOver: (() => void) | undefined
+  #onFinish: (() => void) | undefined
   readonly #search: UpstreamSearch
 
   constructor(
@@ -58,9 +60,9 @@
     readonly answer: CallerAnswer,
   ) {
     const { clock, rollouts, retries, metrics } = services
-    this.#log = new TryLog(clock, admitted.request.receivedAt)
-    this.#suspect = createSuspect(services, admitted)
-    this.#crashes = new CrashProbe(services, admitted, this.#suspect)
+    this.#attemptLog = new AttemptLog(clock, admitted.request.receivedAt)
+    this.#suspect = createSuspectRequest(services, admitted)
+    this.#crashProbe = new CrashProbe(services, admitted, this.#suspect)
     this.admits = rollouts.admission(admitted.service, admitted.fields.session)
     this.#search = new UpstreamSearch({
       services,
@@ -70,14 +72,14 @@
       crashes: () => this.#suspect.crashes,
       isOver: () => this.isOver,
     })
-    this.#tries = new TryAccount({
+    this.#attempts = new AttemptTracker({
       clock,
       metrics,
       share: retryShareOf(retries, admitted.service),
       sharingBoxes: () => services.sharingBoxes(),
       maxAttempts: admitted.route.maxAttempts,
     })
-    this.#timer = clock.after(admitted.deadline - clock.now(), () => this.#runOutOfTime())
+    this.#timer = clock.after(admitted.deadline - clock.now(), () => this.#handleDeadline())
     answer.onGone(() => this.finish('caller-left', undefined))
   }
 
@@ -89,20 +91,21 @@
     return this.admitted.deadline - this.services.clock.now()
   }
 
-  /** Some upstream may have run it, so no answer may say that it did not run. */
+  /** An upstream may have processed the request, so the answer must not claim otherwise. */
   get mayHaveRun(): boolean {
-    return this.#tries.mayHaveRun
+    return this.#attempts.mayHaveRun
   }
 
   /**
-   * Whether the request may be sent to an upstream now. One that must not be is answered at once; `hasBegun`: its answer has
-   * begun, and is broken off.
+   * Waits until the request may be sent to an upstream: for the crash probe, and for its turn if it
+   * is suspected of crashing upstreams. Otherwise finishes the request and returns false;
+   * `hasBegun`: its answer has begun and is aborted.
    */
   async mayRun(hasBegun = false): Promise<boolean> {
-    await this.#crashes.lookedAt
-    const turn = await this.#suspect.awaitTurn(this.admitted.deadline - 2 * TIME_KEPT_BACK)
+    await this.#crashProbe.settled
+    const turn = await this.#suspect.awaitTurn(this.admitted.deadline - 2 * ROUND_TRIP_ALLOWANCE)
     if (this.isOver) {
-      // The caller left while the request waited for its turn.
+      // The caller disconnected, or the deadline passed, during the wait.
       this.#suspect.endTrial()
       return false
     }
@@ -110,62 +113,63 @@
     if (hasBegun) {
       this.answer.abort()
       this.finish(turn, undefined)
-    } else if (turn === 'condemned') this.#refuseForGood()
-    else this.giveUp('it is run elsewhere, and upstreams ended under it')
+    } else if (turn === 'condemned') this.#rejectQuarantined()
+    else this.fail('it is run elsewhere, and upstreams ended under it')
     return false
   }
 
-  /** Resolves once it is known whether the last try's upstream has ended. */
-  lookedAt(): Promise<void> {
-    return this.#crashes.lookedAt
+  /** Resolves when the crash probe of the last attempt has finished or timed out. */
+  awaitCrashProbe(): Promise<void> {
+    return this.#crashProbe.settled
   }
 
   /**
-   * Nobody runs this request. It has run, so that no status may say that it did not; none asks it to come back.
+   * Rejects a quarantined request: it has been processed, so neither a 503 nor a Retry-After is
+   * right.
    */
-  #refuseForGood(): void {
+  #rejectQuarantined(): void {
     const headers = this.services.dialect.writeRefusal(this.admitted.fields.id, undefined)
-    this.answer.start(CONDEMNED, headers, true)
+    this.answer.start(QUARANTINED_STATUS, headers, true)
     this.answer.end(
       `upstreams ended under this request, ${this.#suspect.crashes} in a row: it is not run again for now`,
     )
-    this.finish('condemned', CONDEMNED)
+    this.finish('condemned', QUARANTINED_STATUS)
   }
 
-  /** Called once when the request is over, whoever ended it. */
-  onOver(callback: () => void): void {
-    this.#onOver = callback
+  /** Calls back when the request finishes, for whatever reason. Replaces the earlier callback. */
+  onFinish(callback: () => void): void {
+    this.#onFinish = callback
   }
 
-  /** Whether one more upstream could be sent the request now. */
-  hasTry(): boolean {
-    return this.#isOpen && this.#tries.hasTry
+  /** Whether the deadline, the attempt limit and the retry budget allow one more attempt. */
+  canAttempt(): boolean {
+    return this.#canStillSend && this.#attempts.canAttempt
   }
 
-  /** Takes the right to send the request to one more upstream. */
-  takeTry(): boolean {
-    return this.#isOpen && this.#tries.takeTry()
+  /** Claims one more attempt, paid from the retry budget where needed. */
+  takeAttempt(): boolean {
+    return this.#canStillSend && this.#attempts.takeAttempt()
   }
 
-  get #isOpen(): boolean {
-    return !this.isOver && this.timeLeft >= TIME_KEPT_BACK * 2
+  get #canStillSend(): boolean {
+    return !this.isOver && this.timeLeft >= ROUND_TRIP_ALLOWANCE * 2
   }
 
   /**
-   * How long it would take until another model's answer begins, the last upstream included. Infinite when no upstream
-   * takes the request.
+   * Estimated time to the first token with another model. Infinite if no upstream accepts the
+   * request.
    */
-  beginsWithin(model: string): Milliseconds {
+  estimateTimeToFirstToken(model: string): Milliseconds {
     const prompt = this.services.work.promptWork(this.admitted.fields, model, this.route.models)
-    return this.#search.beginsWithin(prompt)
+    return this.#search.estimateTimeToFirstToken(prompt)
   }
 
-  /** An upstream that takes the request now, or within a short wait. */
+  /** Selects an upstream, and waits for one briefly if none accepts the request at once. */
   findUpstream(prompt?: PromptWork): Promise<Upstream | undefined> {
     return this.#search.find(prompt)
   }
 
-  /** Sends the request to an upstream. */
+  /** Sends the request to an upstream as a new attempt. */
   send(
     upstream: Upstream,
     fields: Pick<OutgoingFields, 'copyFrom' | 'lastEventId' | 'model'>,
@@ -174,17 +178,21 @@
     const { clock, dialect, statements } = this.services
     const { request, organisation, route } = this.admitted
     const outgoing: OutgoingFields = {
-      timeLeft: Math.max(1, Math.floor(this.timeLeft - TIME_KEPT_BACK)),
+      timeLeft: Math.max(1, Math.floor(this.timeLeft - ROUND_TRIP_ALLOWANCE)),
       upstreamId: upstream.listed.id,
       ...(organisation && { organisation: organisation.name }),
       ...fields,
       urgency: this.#search.urgency,
     }
     this.tried.push(upstream.run)
-    this.#sent = { upstream, send: this.#suspect.noteSent(upstream.run), sentAt: clock.now() }
-    this.#tries.noteSent()
+    this.#lastAttempt = {
+      upstream,
+      send: this.#suspect.noteSent(upstream.run),
+      sentAt: clock.now(),
+    }
+    this.#attempts.recordSent()
     upstream.said.sent++
-    this.#log.begin(upstream.listed, fields.model)
+    this.#attemptLog.begin(upstream.listed, fields.model)
     const exchange = exchangeWithUpstream(
       upstream,
       {
@@ -192,7 +200,7 @@
         target: request.target,
         headers: dialect.writeRequest(request.headers, outgoing),
         body: request.body,
-        onFreshChannel: route.kind === 'unsafe',
+        onNewConnection: route.kind === 'unsafe',
       },
       this.admitted.fields.id,
       dialect,
@@ -201,7 +209,7 @@
         ...handler,
         onHead: head => {
           statements.take(upstream, head, exchange.startedAt)
-          this.#log.says(head)
+          this.#attemptLog.recordHead(head)
           return handler.onHead(head)
         },
       },
@@ -210,21 +218,19 @@
     return exchange
   }
 
-  /**
-   * The upstream did nothing wrong, only its model's answer was doubtful: it may be asked for that of another model.
-   */
-  forgiveLastTry(): void {
+  /** Makes the last upstream eligible again: it worked, only its model had a low confidence. */
+  allowLastUpstream(): void {
     this.tried.pop()
   }
 
-  /** The last try never left this box. */
-  noteUnsent(): void {
-    this.#tries.noteUnsent()
+  /** The last attempt sent no byte to the upstream. */
+  recordUnsent(): void {
+    this.#attempts.recordUnsent()
   }
 
   /**
-   * Whether another process than the upstream answered, and did not run the request: one that names itself otherwise. Without a
-   * name the status may also say that the upstream does not have the model, where the caller chose that.
+   * Whether another process at the upstream's address rejected the request. A 421 without the
+   * process's name may also mean that the upstream lacks the model, if the caller chose the model.
    */
   isMisdirected({ status, fields }: AnswerHead, upstream: Upstream): boolean {
     if (status !== MISDIRECTED || !fields.isNotRun) return false
@@ -232,27 +238,30 @@
     return this.route.kind !== 'streaming' || this.route.models.length > 0
   }
 
-  /** Another process answered at the upstream's address. Processes that crash stay listed for 4 s. */
-  noteMisdirected(upstream: Upstream): void {
-    this.noteTry(upstream, 'gone', `status ${MISDIRECTED}`)
-    this.#tries.noteTurnedAway()
+  /** Another process answered at the upstream's address, for example after a restart. */
+  recordMisdirected(upstream: Upstream): void {
+    this.recordAttempt(upstream, 'gone', `status ${MISDIRECTED}`)
+    this.#attempts.recordMisdirected()
   }
 
-  /** Notes how a try ended, for the log and for the upstream's health. */
-  noteTry(upstream: Upstream, outcome: ExchangeOutcome | undefined, detail: string): void {
-    this.#log.end(detail)
-    // Whoever is turned away does not wait anew for the next upstream.
-    if (outcome !== 'shed' && outcome !== 'gone') this.#search.waitAnew()
+  /** Records how an attempt ended, for the log and the upstream's health. */
+  recordAttempt(upstream: Upstream, outcome: ExchangeOutcome | undefined, detail: string): void {
+    this.#attemptLog.end(detail)
+    // A rejected attempt does not restart the wait, so that rejections cannot prolong it.
+    if (outcome !== 'shed' && outcome !== 'gone') this.#search.restartWait()
     if (outcome) this.services.outcomes.note(upstream, outcome)
   }
 
-  /** Counts an answer for or against its version. */
-  noteAnswer(upstream: Upstream, isGood: boolean): void {
+  /** Counts a success or failure of the upstream's version. */
+  recordAnswer(upstream: Upstream, isGood: boolean): void {
     this.services.rollouts.judge.noteOutcome(this.#keyOf(upstream, ''), isGood)
   }
 
-  /** How long an answer took to begin, or from piece to piece. */
-  noteTime(
+  /**
+   * Records a sample for the upstream's version: for `start` the latency of a call, or the ratio of
+   * a stream's time to first event to its estimate; for `pace` the mean time between chunks.
+   */
+  recordTime(
     upstream: Upstream,
     model: string | undefined,
     aspect: TimedAspect,
@@ -261,8 +270,8 @@
     this.services.rollouts.judge.noteTime(this.#keyOf(upstream, model), aspect, sample)
   }
 
-  /** The same of an answer that was ended before it had begun, or had gone on for long. */
-  noteUnfinished(
+  /** Records a lower bound of such a sample, of an answer that was cancelled. */
+  recordUnfinished(
     upstream: Upstream,
     model: string | undefined,
     aspect: TimedAspect,
@@ -277,81 +286,86 @@
   }
 
   /**
-   * An answer broke off. It counts against its version only if the upstream's process goes on: when three or four of
-   * eight engines crashed or lost power at once, their broken answers made a good version look bad, and it was rolled back.
+   * The connection broke during the exchange. It counts against the version only if the process
+   * still runs: engines that crash or lose power together must not cause the rollback of a good
+   * version.
    */
-  noteBroken(upstream: Upstream): void {
-    if (this.#sent) this.#crashes.look(this.#sent, () => this.noteAnswer(upstream, false))
+  recordReset(upstream: Upstream): void {
+    if (this.#lastAttempt)
+      this.#crashProbe.probe(this.#lastAttempt, () => this.recordAnswer(upstream, false))
   }
 
-  /** A whole answer came, and its end could be seen: the request crashes nobody. */
-  noteWhole(head: AnswerHead): void {
+  /** A complete, framed answer shows that the request did not crash the upstream. */
+  recordCompletion(head: AnswerHead): void {
     if (head.fields.isFramed) this.#suspect.noteWhole()
   }
 
-  noteConfidence(confidence: number): void {
-    this.#log.confidence(confidence)
+  recordConfidence(confidence: number): void {
+    this.#attemptLog.recordConfidence(confidence)
   }
 
-  /** A piece of a stream came `pause` after the one before it, or is the first. */
-  notePiece(pause: Milliseconds | undefined): void {
-    this.#log.piece(pause)
+  /** Records a chunk, `pause` after the previous one; undefined for the first. */
+  recordChunk(pause: Milliseconds | undefined): void {
+    this.#attemptLog.recordChunk(pause)
   }
 
-  /** The upstream says that it did not run the request. */
-  noteRefusal(): void {
-    this.#tries.noteNotRun()
+  /** The upstream reported that it did not process the request. */
+  recordRefusal(): void {
+    this.#attempts.recordNotRun()
   }
 
-  /** Passes an upstream's whole answer on as it came. */
+  /** Sends an upstream's complete answer to the caller unchanged. */
   deliver(head: AnswerHead, body: Buffer): void {
     if (this.isOver) return
     const headers = this.services.dialect.writeAnswer(head.headers)
     const { isFramed } = head.fields
-    // Nobody can say whether an answer without a length is whole: it is passed on as such.
+    // Without a length nobody can tell whether the answer is complete, so none is added.
     if (isFramed) headers.push('content-length', String(body.length))
     this.answer.start(head.status, headers, isFramed)
     this.answer.end(body)
     this.finish('delivered', head.status)
   }
 
-  /** The one answer of our own: whether the request can have run decides its status. */
-  giveUp(reason: string): void {
+  /**
+   * Answers with an error: 503 if no upstream processed the request, else 504 after the deadline or
+   * 502.
+   */
+  fail(reason: string): void {
     if (this.isOver) return
     const isLate = this.timeLeft <= 0
-    const status = !this.mayHaveRun ? NOT_RUN : isLate ? 504 : 502
-    const retryAfter = this.mayHaveRun ? undefined : this.#search.comeBackAfter()
+    const status = !this.mayHaveRun ? NOT_RUN_STATUS : isLate ? 504 : 502
+    const retryAfter = this.mayHaveRun ? undefined : this.#search.retryAfter()
     const headers = this.services.dialect.writeRefusal(this.admitted.fields.id, retryAfter)
     this.answer.start(status, headers, true)
     this.answer.end(reason)
     this.finish(reason, status)
   }
 
-  /** Ends the request: what is under way for it stops, and nothing more is written. */
+  /** Finishes the request: cancels the exchange, writes the log line and ignores later calls. */
   finish(outcome: string, status: number | undefined): void {
     if (this.isOver) return
     this.isOver = true
     this.#timer.cancel()
     this.#exchange?.cancel()
     this.#suspect.endTrial()
-    this.#writeLine(outcome, status)
-    this.#onOver?.()
+    this.#writeLogLine(outcome, status)
+    this.#onFinish?.()
   }
 
-  #runOutOfTime(): void {
+  #handleDeadline(): void {
     if (this.isOver) return
     this.#onDeadline?.()
-    if (!this.isOver) this.giveUp('out of time')
+    if (!this.isOver) this.fail('out of time')
   }
 
   #onDeadline: (() => void) | undefined
 
-  /** Called when time runs out, before the request is given up. */
+  /** Calls back at the deadline, before the request fails. */
   onDeadline(callback: () => void): void {
     this.#onDeadline = callback
   }
 
-  #writeLine(outcome: string, status: number | undefined): void {
+  #writeLogLine(outcome: string, status: number | undefined): void {
     const { services, admitted } = this
     const { request, fields, route, organisation } = admitted
     const duration = services.clock.now() - request.receivedAt
@@ -370,17 +384,23 @@
         timeLeft: Math.round(this.timeLeft),
         configuration: services.operators.index?.configuration.revision,
         configurationAge: Math.round(services.operators.age),
-        tries: this.#log.records,
-        ...(status === NOT_RUN && { held: services.upstreams.heldBack(admitted.service) }),
-        sends: this.#tries.attempts,
+        tries: this.#attemptLog.records,
+        ...(status === NOT_RUN_STATUS && { held: services.upstreams.heldBack(admitted.service) }),
+        sends: this.#attempts.attempts,
       },
       isFailure,
     )
   }
 }
 
-/** The same request is one with the same path, caller and body. An organisation is one caller with all its keys. */
-function createSuspect(services: GatewayServices, admitted: AdmittedRequest): SuspectRequest {
+/**
+ * Requests are the same if host, target, caller and body are. All keys of an organisation are one
+ * caller.
+ */
+function createSuspectRequest(
+  services: GatewayServices,
+  admitted: AdmittedRequest,
+): SuspectRequest {
   const { request, organisation, fields, service, route } = admitted
   const caller = organisation?.name ?? fields.key ?? ''
   return new SuspectRequest({
--- a/packages/gateway/src/requests/handleCaller.ts
+++ b/packages/gateway/src/requests/handleCaller.ts
@@ -7,29 +7,31 @@
 import { forwardStream } from './forwardStream.js'
 
 /**
- * Part of the time for honouring a taken-away key after which the box stops, unless it has a younger proof. Proofs count
- * from when the read was sent and requests from when they arrived. What is left covers feeds, which say nothing of a
- * change for up to a second while the store drops its history (seen on days with that fault), and clocks that drift.
+ * Fraction of the key revocation time after which keys are rejected without a fresh confirmation of
+ * the configuration. The rest covers late notifications of the store's watch and clock drift.
  */
-const KEY_MARGIN = 0.78
-/** A 401 or 404 is given only with a copy younger than this; the operators' changes reach all boxes sooner. */
-const REFUSALS_WITHIN: Milliseconds = 2_500
-/** A leaving box takes streams for this long: by then callers have new addresses, and most streams still end. */
-const STREAMS_WHILE_LEAVING: Milliseconds = 2_600
+const KEY_REVOCATION_FRACTION = 0.78
+/** Maximum age of the configuration for a 401 or 404; changes reach all boxes sooner. */
+const MAX_REFUSAL_AGE: Milliseconds = 2_500
+/** A draining box accepts streams for this long: callers refresh their addresses meanwhile. */
+const STREAM_ADMISSION_DURATION: Milliseconds = 2_600
 
-/** A box that just started has its configuration within this. */
+/** Retry-After of a 503; a starting box loads its configuration within this. */
 const REJECTED_RETRY_AFTER: Milliseconds = 400
 
-const FORWARDERS: Record<Route['kind'], (run: ForwardedRequest) => Promise<void>> = {
+const FORWARDERS: Record<Route['kind'], (forwarded: ForwardedRequest) => Promise<void>> = {
   safe: forwardCall,
   unsafe: forwardCall,
   streaming: forwardStream,
 }
 
-/** Sends a caller's request on, or rejects it. `leavingFor`: how long ago the box began to leave, 0 while it stays. */
+/**
+ * Forwards or rejects a caller's request. `drainingFor`: time since the box began to drain, 0 if it
+ * does not.
+ */
 export function handleCaller(
   services: GatewayServices,
-  leavingFor: Milliseconds,
+  drainingFor: Milliseconds,
   request: CallerRequest,
   answer: CallerAnswer,
 ): void {
@@ -37,13 +39,13 @@
   const fields = dialect.readRequest(request.headers)
   const admitted = admitCaller(request, fields, operators.index, freshnessOf(services), random)
   if ('status' in admitted) return reject(services, request, fields.id, answer, admitted)
-  // A stream that begins now would not end before the box does.
-  if (admitted.route.kind === 'streaming' && leavingFor > STREAMS_WHILE_LEAVING)
+  // A stream accepted now might not end before the box exits.
+  if (admitted.route.kind === 'streaming' && drainingFor > STREAM_ADMISSION_DURATION)
     return reject(services, request, fields.id, answer, { status: 503, reason: 'leaving' })
-  const run = new ForwardedRequest(services, admitted, answer)
-  FORWARDERS[admitted.route.kind](run).catch((error: unknown) => {
+  const forwarded = new ForwardedRequest(services, admitted, answer)
+  FORWARDERS[admitted.route.kind](forwarded).catch((error: unknown) => {
     log.note('request-failed', { id: fields.id, error: String(error) })
-    run.giveUp('internal error')
+    forwarded.fail('internal error')
   })
 }
 
@@ -51,8 +53,8 @@
   const { keyRevocation } = settings
   return {
     age: operators.age,
-    keysWithin: keyRevocation === undefined ? undefined : KEY_MARGIN * keyRevocation,
-    refusalsWithin: REFUSALS_WITHIN,
+    maxKeyAge: keyRevocation === undefined ? undefined : KEY_REVOCATION_FRACTION * keyRevocation,
+    maxRefusalAge: MAX_REFUSAL_AGE,
   }
 }
 
--- a/packages/gateway/src/requests/stallWatch.ts
+++ b/packages/gateway/src/requests/stallWatch.ts
@@ -4,22 +4,25 @@
 import type { Upstream } from '../types/upstream.js'
 import type { RunningExchange } from './exchangeWithUpstream.js'
 
-/** A streamed answer under way, and how long its upstream may say nothing. */
+/** A streamed answer in flight, with its stall thresholds. */
 export interface WatchedStream {
   exchange: RunningExchange
-  /** How long the prompts that are before the upstream may hold it up. */
-  expected(): Milliseconds
-  /** Beyond twice what is expected, a pause after which a silent upstream is taken to have stalled. */
-  silentUpstream: Milliseconds
-  /** Beyond what is expected, a pause after which it has stalled whatever the upstream says to others. */
-  silentStream: Milliseconds
-  /** True if something came of it; the stream is then watched no more. */
+  /** How long pending prefill may delay the upstream. */
+  expectedDelay(): Milliseconds
+  /**
+   * The stream has stalled if the upstream sent nothing on any stream for this plus twice the
+   * expected delay.
+   */
+  upstreamStallAfter: Milliseconds
+  /** The stream has stalled if it received nothing for this plus the expected delay. */
+  streamStallAfter: Milliseconds
+  /** Returns true if it ended the exchange; the stream is then no longer watched. */
   onStall(pause: Milliseconds): boolean
 }
 
-const LOOK_EVERY: Milliseconds = 100
+const CHECK_INTERVAL: Milliseconds = 100
 
-/** Finds streams whose upstream has fallen silent. One timer serves all of them. */
+/** Detects stalled streams, with one timer for all. */
 export class StallWatch {
   readonly #streams = new Set<WatchedStream>()
 
@@ -29,9 +32,9 @@
   ) {}
 
   start(): void {
-    every(this.clock, LOOK_EVERY, () => {
+    every(this.clock, CHECK_INTERVAL, () => {
       this.reachability.look(this.waitingSince())
-      this.look()
+      this.check()
     })
   }
 
@@ -43,7 +46,7 @@
     this.#streams.delete(stream)
   }
 
-  /** Upstreams with streams under way, and when the oldest of these was sent. */
+  /** Upstreams with streams in flight, and the start of the oldest of these. */
   waitingSince(): Map<Upstream, Milliseconds> {
     const oldest = new Map<Upstream, Milliseconds>()
     for (const { exchange } of this.#streams) {
@@ -53,7 +56,7 @@
     return oldest
   }
 
-  /** All streams of an upstream that cannot be reached have stalled. */
+  /** Treats all streams of an unreachable upstream as stalled. */
   giveUpOn(upstream: Upstream): void {
     const now = this.clock.now()
     for (const stream of this.#streams) {
@@ -63,15 +66,19 @@
     }
   }
 
-  look(): void {
+  check(): void {
     const now = this.clock.now()
     for (const stream of this.#streams) {
-      const { exchange, silentStream, silentUpstream } = stream
+      const { exchange, streamStallAfter, upstreamStallAfter } = stream
       const pause = now - exchange.lastBytesAt
       const upstreamPause = Math.min(pause, now - exchange.upstream.health.lastHeardAt)
-      if (pause < silentStream && upstreamPause < silentUpstream) continue
-      const expected = stream.expected()
-      if (pause < silentStream + expected && upstreamPause < silentUpstream + 2 * expected) continue
+      if (pause < streamStallAfter && upstreamPause < upstreamStallAfter) continue
+      const expectedDelay = stream.expectedDelay()
+      if (
+        pause < streamStallAfter + expectedDelay &&
+        upstreamPause < upstreamStallAfter + 2 * expectedDelay
+      )
+        continue
       if (stream.onStall(pause)) this.#streams.delete(stream)
     }
   }
--- a/packages/gateway/src/requests/tryAccount.ts
+++ b/packages/gateway/src/requests/tryAccount.ts
@@ -1,89 +1,88 @@
 import { hasRetry, noteRequest, takeRetry, type Clock, type RetryShare } from '@yewkeel/decisions'
 import type { GatewayMetrics } from '../types/ports.js'
 
-export interface TryAccountOptions {
+export interface AttemptTrackerOptions {
   clock: Clock
   metrics: GatewayMetrics
-  /** This box's part of the retry budget of the request's service. */
+  /** This box's share of the retry budget of the request's service. */
   share: RetryShare
-  /** Boxes that share the fixed part of the budget. */
+  /** Number of boxes that share the fixed part of the budget. */
   sharingBoxes(): number
-  /** Upstreams that may work on the request. */
+  /** Maximum number of upstreams that accept the request. */
   maxAttempts: number
 }
 
 /**
- * The tries of one request: how many upstreams took it, which of its sends the retry budget has paid for, and whether it may
- * have run.
+ * Counts the attempts of one request against the route's limit and the retry budget.
  *
- * What the route's limit counts and what the budget counts are two things. An upstream that turned the request away did not
- * take it, but the request reached it: when such a send was taken back from both, the next one was the first again and cost
- * nothing, and 40 requests to ten upstreams that had restarted became 400 (`retryBudget.test.ts`).
+ * A send that another process rejected does not count as an attempt, but it still uses the free
+ * first send or a paid retry: otherwise requests to restarted upstreams would be repeated outside
+ * the budget.
  */
-export class TryAccount {
+export class AttemptTracker {
   #attempts = 0
   #arrivals = 0
   /** Retries taken from the budget. */
-  #paid = 0
+  #paidRetries = 0
   #possibleRuns = 0
 
-  constructor(private readonly options: TryAccountOptions) {
+  constructor(private readonly options: AttemptTrackerOptions) {
     noteRequest(options.share, options.clock.now())
   }
 
-  /** Upstreams that took the request, or may have. */
+  /** Upstreams that accepted the request, or may have. */
   get attempts(): number {
     return this.#attempts
   }
 
-  /** Some upstream may have run it, so no answer may say that it did not run. */
+  /** An upstream may have processed the request, so the answer must not claim otherwise. */
   get mayHaveRun(): boolean {
     return this.#possibleRuns > 0
   }
 
-  /** Whether one more upstream could be sent the request now. */
-  get hasTry(): boolean {
-    return this.#isWithinLimit && (this.#isPaid || this.#hasRetry)
+  /** Whether the attempt limit and the retry budget allow one more attempt. */
+  get canAttempt(): boolean {
+    return this.#isWithinLimit && (this.#isNextPaid || this.#canPayRetry)
   }
 
-  /** Takes the right to send the request to one more upstream. The first send is free. */
-  takeTry(): boolean {
+  /** Claims one more attempt. The first send is free, others are paid from the retry budget. */
+  takeAttempt(): boolean {
     const { share, sharingBoxes, clock, metrics } = this.options
     if (!this.#isWithinLimit) return false
-    if (this.#isPaid) return true
+    if (this.#isNextPaid) return true
     if (!takeRetry(share, sharingBoxes(), clock.now())) {
       metrics.count('retries', 'refused')
       return false
     }
-    this.#paid++
+    this.#paidRetries++
     metrics.count('retries', 'sent')
     return true
   }
 
-  noteSent(): void {
+  recordSent(): void {
     this.options.metrics.count('arrivals', this.#arrivals === 0 ? 'first' : 'repeat')
     this.#attempts++
     this.#arrivals++
     this.#possibleRuns++
   }
 
-  /** No byte of the last send left this box: what was paid for it stays for the next. */
-  noteUnsent(): void {
+  /** The last send transmitted no byte: its payment remains for the next. */
+  recordUnsent(): void {
     this.options.metrics.count('arrivals', 'unsent')
     this.#attempts--
     this.#arrivals--
     this.#possibleRuns--
   }
 
-  /** Another process answered at the upstream's address. It does not count as an upstream that took the request. */
-  noteTurnedAway(): void {
+  /** Another process answered at the upstream's address: no attempt, but the payment is used. */
+  recordMisdirected(): void {
     this.options.metrics.count('arrivals', 'turned-away')
     this.#attempts--
     this.#possibleRuns--
   }
 
-  /** The upstream says that it did not run the request. */
-  noteNotRun(): void {
+  /** The upstream reported that it did not process the request. */
+  recordNotRun(): void {
     this.#possibleRuns--
   }
 
@@ -91,12 +90,12 @@
     return this.#attempts < this.options.maxAttempts
   }
 
-  /** The next send is the first that can arrive, or was paid for. */
-  get #isPaid(): boolean {
-    return this.#arrivals <= this.#paid
+  /** The next send is the free first one, or a retry that is already paid. */
+  get #isNextPaid(): boolean {
+    return this.#arrivals <= this.#paidRetries
   }
 
-  get #hasRetry(): boolean {
+  get #canPayRetry(): boolean {
     const { share, sharingBoxes, clock } = this.options
     return hasRetry(share, sharingBoxes(), clock.now())
   }
--- a/packages/gateway/src/requests/tryLog.ts
+++ b/packages/gateway/src/requests/tryLog.ts
@@ -1,34 +1,36 @@
 import type { Clock, ListedUpstream, Milliseconds } from '@yewkeel/decisions'
 import type { AnswerHead } from './exchangeWithUpstream.js'
 
-/** One try at an upstream, for the log. */
-interface TryRecord {
+/** One attempt at an upstream, as logged. */
+interface AttemptRecord {
   upstream: string
   version: string
   model?: string
-  /** When it began and ended, counted from the request's arrival. */
+  /** Start and end, since the request's arrival. */
   from: Milliseconds
   to?: Milliseconds
   outcome?: string
-  /** The model's own opinion of its answer. */
+  /** Reported by the model, 0 to 100. */
   confidence?: number
-  /** When the first event came, counted from the request's arrival. */
+  /** Time of the first chunk, since the request's arrival. */
   firstEvent?: Milliseconds
-  /** The longest time between two pieces of the stream. */
+  /** The longest time between two chunks. */
   longestPause?: Milliseconds
-  /** Pieces of the stream that came, and when the last of them did, counted from the request's arrival. */
+  /** Number of chunks, and the time of the last, since the request's arrival. */
   pieces?: number
   lastPiece?: Milliseconds
-  /** What the upstream said of itself in its answer. */
+  /**
+   * Rate limit in requests per second, from the answer's headers; `isLeaving`: the upstream drains.
+   */
   limit?: number
   isLeaving?: boolean
-  /** In seconds. */
+  /** From the answer's headers, in seconds. */
   retryAfter?: number
 }
 
-/** What became of the tries of one request, as its line in the log tells it. */
-export class TryLog {
-  readonly records: TryRecord[] = []
+/** Collects the attempts of one request for its log line. */
+export class AttemptLog {
+  readonly records: AttemptRecord[] = []
 
   constructor(
     private readonly clock: Clock,
@@ -47,8 +49,8 @@
     record.outcome = outcome
   }
 
-  /** What the upstream says of itself in the head of its answer. */
-  says({ fields: { limit, isLeaving, retryAfter } }: AnswerHead): void {
+  /** Records rate limit, drain notice and Retry-After of the answer's headers. */
+  recordHead({ fields: { limit, isLeaving, retryAfter } }: AnswerHead): void {
     const record = this.records.at(-1)
     if (!record) return
     if (limit !== undefined) record.limit = limit
@@ -56,13 +58,13 @@
     if (retryAfter !== undefined) record.retryAfter = retryAfter
   }
 
-  confidence(confidence: number): void {
+  recordConfidence(confidence: number): void {
     const record = this.records.at(-1)
     if (record) record.confidence = confidence
   }
 
-  /** A piece of a stream came `pause` after the one before it, or is the first. */
-  piece(pause: Milliseconds | undefined): void {
+  /** Records a chunk, `pause` after the previous one; undefined for the first. */
+  recordChunk(pause: Milliseconds | undefined): void {
     const record = this.records.at(-1)
     if (!record) return
     record.pieces = (record.pieces ?? 0) + 1
--- a/packages/gateway/src/requests/upstreamSearch.ts
+++ b/packages/gateway/src/requests/upstreamSearch.ts
@@ -14,88 +14,98 @@
 export interface UpstreamSearchOptions {
   services: GatewayServices
   admitted: AdmittedRequest
-  /** Runs that are not tried again; grows with the tries. */
+  /** Upstream processes to exclude; grows with each attempt. */
   tried: readonly string[]
-  /** Versions that the request may run on. */
+  /** Versions that the request may use. */
   admits(version: string): boolean
-  /** Upstreams that ended under the request in a row. */
+  /** Consecutive upstream crashes during this request. */
   crashes(): number
   isOver(): boolean
 }
 
-/** How long a request waits for an upstream that takes it, as a share of its latency objective. */
-const WAIT_SHARE = 0.2
-const LOOK_AGAIN: Milliseconds = 12
-/** When a refused caller is told to come back, where upstreams take requests. */
-const COME_BACK_AFTER: Milliseconds = 300
+/** Maximum wait for an upstream, as a fraction of the route's latency objective. */
+const MAX_WAIT_FRACTION = 0.2
+const POLL_INTERVAL: Milliseconds = 12
+/** Retry-After of a 503 while upstreams accept requests, and its minimum otherwise. */
+const MIN_RETRY_AFTER: Milliseconds = 300
 const LEAST_URGENT = 9
-const ROUTE_PRIORITIES = 3
+const ROUTE_PRIORITY_LEVELS = 3
 
-/** Looks for the upstream of each try of one request. */
+/** Selects the upstream for each attempt of one request. */
 export class UpstreamSearch {
   readonly #waiter: Waiter
-  /** The request's wait counts from then on. */
-  #waitsFrom: Milliseconds
+  #waitStartedAt: Milliseconds
 
   constructor(private readonly options: UpstreamSearchOptions) {
     const { services, admitted } = options
     const { organisation, route } = admitted
-    this.#waitsFrom = services.clock.now()
+    this.#waitStartedAt = services.clock.now()
     this.#waiter = {
       urgency: urgencyOf(organisation?.priority ?? 0, route.priority),
       organisation: organisation?.name ?? '',
     }
   }
 
-  /** 0 to 9; 0 is the most urgent. */
+  /** From 0, the most urgent, to 9. */
   get urgency(): number {
     return this.#waiter.urgency
   }
 
-  /** The request may wait again as long as at its beginning. */
-  waitAnew(): void {
-    this.#waitsFrom = this.options.services.clock.now()
+  /** Grants the full wait again. */
+  restartWait(): void {
+    this.#waitStartedAt = this.options.services.clock.now()
   }
 
-  /** An upstream that takes the request now, or within a short wait. Nothing is waited for where none could take it. */
+  /**
+   * Selects an upstream, and waits for one briefly unless none could accept the request in that
+   * time.
+   */
   async find(prompt?: PromptWork): Promise<Upstream | undefined> {
     const { services, admitted } = this.options
-    const line = services.upstreams.lineOf(admitted.service)
-    line.waiters.add(this.#waiter)
+    const queue = services.upstreams.lineOf(admitted.service)
+    queue.waiters.add(this.#waiter)
     try {
-      return await this.#await(line, this.#query(prompt))
+      return await this.#awaitUpstream(queue, this.#query(prompt))
     } finally {
-      line.waiters.delete(this.#waiter)
+      queue.waiters.delete(this.#waiter)
     }
   }
 
-  async #await(line: WaitingLine, query: PickQuery): Promise<Upstream | undefined> {
+  async #awaitUpstream(queue: WaitingLine, query: PickQuery): Promise<Upstream | undefined> {
     const { services, admitted, isOver } = this.options
     const { clock, upstreams } = services
-    const until = this.#waitsFrom + WAIT_SHARE * admitted.route.latencyObjective
+    const waitEndsAt = this.#waitStartedAt + MAX_WAIT_FRACTION * admitted.route.latencyObjective
     for (;;) {
-      query.ahead = waitersAhead(line, this.#waiter)
-      const found = upstreams.pick(query)
-      if (found && upstreams.isHeld(found)) noteServed(line, this.#waiter)
-      if (found) upstreams.noteChosen(found)
-      if (found || isOver() || clock.now() >= until || !upstreams.couldTake(query, until))
-        return found
-      await new Promise<void>(resolve => clock.after(LOOK_AGAIN, resolve))
+      query.ahead = waitersAhead(queue, this.#waiter)
+      const upstream = upstreams.pick(query)
+      if (upstream && upstreams.isHeld(upstream)) noteServed(queue, this.#waiter)
+      if (upstream) upstreams.noteChosen(upstream)
+      if (
+        upstream ||
+        isOver() ||
+        clock.now() >= waitEndsAt ||
+        !upstreams.couldTake(query, waitEndsAt)
+      )
+        return upstream
+      await new Promise<void>(resolve => clock.after(POLL_INTERVAL, resolve))
     }
   }
 
-  /** How long it would take until an answer to the prompt begins, the last upstream included. Infinite when none takes it. */
-  beginsWithin(prompt: PromptWork): Milliseconds {
+  /**
+   * Estimated time to the first token of an answer to the prompt, with the last upstream eligible
+   * again. Infinite if none accepts it.
+   */
+  estimateTimeToFirstToken(prompt: PromptWork): Milliseconds {
     const tried = this.options.tried.slice(0, -1)
     return this.options.services.upstreams.beginsWithin({ ...this.#query(prompt), tried, prompt })
   }
 
-  /** When a refused caller is to come back. Drawn apart where upstreams hold requests back, so that those refused together don't return together. */
-  comeBackAfter(): Milliseconds {
+  /** Retry-After for a rejected caller, with random jitter while upstreams restrict their rate. */
+  retryAfter(): Milliseconds {
     const { upstreams, random } = this.options.services
     const reopensIn = upstreams.reopensIn({ ...this.#query(undefined), tried: [] })
-    if (reopensIn === 0) return COME_BACK_AFTER
-    return Math.max(COME_BACK_AFTER, reopensIn) * (1 + random())
+    if (reopensIn === 0) return MIN_RETRY_AFTER
+    return Math.max(MIN_RETRY_AFTER, reopensIn) * (1 + random())
   }
 
   #query(prompt: PromptWork | undefined): PickQuery {
@@ -115,10 +125,10 @@
   }
 }
 
-/** An organisation's priority counts before that of the route. */
+/** Orders by the organisation's priority, then by the route's. */
 function urgencyOf(organisation: number, route: number): number {
   return Math.min(
     LEAST_URGENT,
-    organisation * ROUTE_PRIORITIES + Math.min(route, ROUTE_PRIORITIES - 1),
+    organisation * ROUTE_PRIORITY_LEVELS + Math.min(route, ROUTE_PRIORITY_LEVELS - 1),
   )
 }
