--- a/packages/gateway/src/node/connectInTime.ts
+++ b/packages/gateway/src/node/connectInTime.ts
@@ -3,16 +3,18 @@
 import { buildConnector } from 'undici'
 
 /**
- * A connection between machines of one region opens within some 10 ms; a lost opening packet is sent again only after a
- * second. The client library rounds a timeout of its own up to a second, so this one runs on the box's clock.
+ * Ample for a handshake within a region, and below the one second after which TCP resends a lost
+ * SYN. The HTTP client rounds its own timeouts up to a second, so this one uses the box's clock.
  */
-const ANSWERED_WITHIN: Milliseconds = 180
-/** A box that was paused hears that a connection is open only after its timers fired: it gets this much more. */
-const HEARD_WITHIN: Milliseconds = 20
-/** A connection is open within this, or not at all. */
-export const OPENS_WITHIN: Milliseconds = ANSWERED_WITHIN + HEARD_WITHIN
+const HANDSHAKE_TIMEOUT: Milliseconds = 180
+/**
+ * Added so that after a pause of this process, a completed handshake is handled before the timeout.
+ */
+const PAUSE_ALLOWANCE: Milliseconds = 20
+/** Timeout for opening a connection. */
+export const OPENS_WITHIN: Milliseconds = HANDSHAKE_TIMEOUT + PAUSE_ALLOWANCE
 
-/** The upstream did not answer the opening of a connection: nothing was sent to it. */
+/** The connection did not open in time; no byte was sent. */
 export class UnreachableError extends Error {
   override readonly name = 'UnreachableError'
 
@@ -21,32 +23,38 @@
   }
 }
 
-/** Nobody takes connections there: the process has ended, or its machine has. An upstream that is full resets them. */
+/**
+ * Whether the error means that the process or its machine is down. A full upstream resets
+ * connections instead.
+ */
 export function isUnreachable(error: Error): boolean {
   return error instanceof UnreachableError || ('code' in error && error.code === 'ECONNREFUSED')
 }
 
-/** Ends a socket that does not open in time, with an `UnreachableError`. */
+/** Destroys a socket that does not connect in time, with an `UnreachableError`. */
 export function limitOpening(socket: Socket, clock: Clock): void {
-  let timer = clock.after(ANSWERED_WITHIN, () => {
-    timer = clock.after(HEARD_WITHIN, () => socket.destroy(new UnreachableError()))
+  let timer = clock.after(HANDSHAKE_TIMEOUT, () => {
+    timer = clock.after(PAUSE_ALLOWANCE, () => socket.destroy(new UnreachableError()))
   })
   const cancel = () => timer.cancel()
   socket.once('connect', cancel)
   socket.once('close', cancel)
 }
 
-/** Opens connections for the client library. */
-export function createConnectInTime(clock: Clock): buildConnector.connector {
+/** Creates a connector for the HTTP client that applies the connect timeout. */
+export function createTimedConnector(clock: Clock): buildConnector.connector {
   const connect = buildConnector({ timeout: 0 })
   return (options, callback) => {
-    // The types say nothing of it, but the library's connector gives the socket back.
+    // undici's connector returns the socket, although its types do not declare it.
     const socket = connect(options, callback) as unknown as Socket
     limitOpening(socket, clock)
   }
 }
 
-/** Whether an upstream still takes connections. This one is closed again. */
+/**
+ * Opens and closes a connection to `host:port`. False if it is unreachable; other errors count as
+ * reachable.
+ */
 export function probeConnection(address: string, clock: Clock): Promise<boolean> {
   const { hostname, port } = new URL(`http://${address}`)
   return new Promise(resolve => {
--- a/packages/gateway/src/node/entryServer.ts
+++ b/packages/gateway/src/node/entryServer.ts
@@ -4,7 +4,9 @@
 import type { CallerAnswer, CallerRequest } from '../types/ports.js'
 import { listenOn } from './listenOn.js'
 
-/** An entry that was opened before the program was loaded. Its connections have not been read from. */
+/**
+ * A listening server from before the program was loaded, with accepted connections that are paused.
+ */
 export interface OpenedEntry {
   server: ConnectionServer
   waiting: Socket[]
@@ -13,61 +15,64 @@
 export interface EntryServerOptions {
   /** `host:port`; port 0 takes any free one. */
   listen: string
-  /** Serves its callers in place of opening another. */
+  /** Takes over this server instead of listening on `listen`. */
   opened?: OpenedEntry
-  /** Callers of an opened entry wait for this, though not for long. */
+  /** Connections of an opened entry wait until this is true, or for a short timeout. */
   isReady(): boolean
   clock: Clock
   bodyBytes(): number
   handle(request: CallerRequest, answer: CallerAnswer): void
 }
 
-/** The server that callers connect to. */
+/** The HTTP server for callers. */
 export interface EntryServer {
   /** `host:port` as bound. */
   address: string
-  /** Requests whose answer is not out yet. */
-  readonly open: number
+  /** Number of requests in flight. */
+  readonly openRequests: number
   setTimeouts(header: Milliseconds, idle: Milliseconds): void
-  /** From now on each answer asks its caller to connect elsewhere. */
-  beginToLeave(): void
+  /** Sends `connection: close` with each answer from now on. */
+  beginDrain(): void
   closeIdle(): void
   close(): void
 }
 
-/** Callers take up connections that rested for most of the idle timeout: close a little after it. */
-const IDLE_SLACK: Milliseconds = 1_000
+/**
+ * Connections close this much after the idle timeout, since callers reuse them until shortly before
+ * it.
+ */
+const IDLE_TIMEOUT_MARGIN: Milliseconds = 1_000
 const LISTEN_BACKLOG = 1_024
 const DEFAULT_HEADER_TIMEOUT: Milliseconds = 10_000
 const DEFAULT_IDLE_TIMEOUT: Milliseconds = 60_000
 
-/** Serves callers over HTTP/1.1. Bodies are read whole, as bytes, before a request is handled. */
+/** Serves callers over HTTP/1.1. Each request's body is buffered before `handle` is called. */
 export async function startEntryServer(options: EntryServerOptions): Promise<EntryServer> {
-  let isLeaving = false
-  let open = 0
+  let isDraining = false
+  let openRequests = 0
   const server = createServer({ requireHostHeader: false }, (message, response) => {
-    open++
-    response.once('close', () => open--)
-    if (isLeaving) response.shouldKeepAlive = false
-    void serve(message, response, options, () => isLeaving)
+    openRequests++
+    response.once('close', () => openRequests--)
+    if (isDraining) response.shouldKeepAlive = false
+    void serve(message, response, options, () => isDraining)
   })
   server.headersTimeout = DEFAULT_HEADER_TIMEOUT
   server.requestTimeout = 0
   server.keepAliveTimeout = DEFAULT_IDLE_TIMEOUT
   server.on('clientError', (_error, socket) => socket.destroy())
-  if (options.opened) void takeOver(server, options.opened, options)
+  if (options.opened) void adoptEntry(server, options.opened, options)
   else await listenOn(server, options.listen, { backlog: LISTEN_BACKLOG })
   const address = (options.opened?.server ?? server).address() as AddressInfo
   return {
     address: `${address.address}:${address.port}`,
-    get open() {
-      return open
+    get openRequests() {
+      return openRequests
     },
     setTimeouts(header, idle) {
       server.headersTimeout = Math.max(header, DEFAULT_HEADER_TIMEOUT)
-      server.keepAliveTimeout = idle + IDLE_SLACK
+      server.keepAliveTimeout = idle + IDLE_TIMEOUT_MARGIN
     },
-    beginToLeave: () => void (isLeaving = true),
+    beginDrain: () => void (isDraining = true),
     closeIdle: () => server.closeIdleConnections(),
     close() {
       server.close()
@@ -76,14 +81,17 @@
   }
 }
 
-/** Serves the callers of an opened entry once the box can: a request that was read before would be refused. */
-async function takeOver(
+/**
+ * Serves the connections of an opened entry once the box is ready; earlier requests would be
+ * rejected.
+ */
+async function adoptEntry(
   server: Server,
   opened: OpenedEntry,
   { clock, isReady }: EntryServerOptions,
 ): Promise<void> {
-  const until = clock.now() + READY_WITHIN
-  while (!isReady() && clock.now() < until) await sleep(clock, LOOK_AGAIN)
+  const deadline = clock.now() + READY_TIMEOUT
+  while (!isReady() && clock.now() < deadline) await sleep(clock, READY_POLL_INTERVAL)
   await new Promise<void>(resolve => server.listen(opened.server, resolve))
   for (const socket of opened.waiting.splice(0)) {
     server.emit('connection', socket)
@@ -92,17 +100,17 @@
 }
 
 /**
- * A box that has its platform is ready some 20 ms after it was loaded. Callers leave a box that has not read from them for a
- * second, so those that waited since it was opened still get the refusal.
+ * Below the callers' timeout of one second, so that a box that is not ready can still reject the
+ * requests.
  */
-const READY_WITHIN: Milliseconds = 400
-const LOOK_AGAIN: Milliseconds = 5
+const READY_TIMEOUT: Milliseconds = 400
+const READY_POLL_INTERVAL: Milliseconds = 5
 
 async function serve(
   message: IncomingMessage,
   response: ServerResponse,
   options: EntryServerOptions,
-  isLeaving: () => boolean,
+  isDraining: () => boolean,
 ): Promise<void> {
   const receivedAt = options.clock.now()
   const body = await readBody(message, options.bodyBytes())
@@ -111,7 +119,7 @@
     response.writeHead(413, { connection: 'close' }).end()
     return
   }
-  if (await hasLeft(message)) return
+  if (await hasDisconnected(message)) return
   const request: CallerRequest = {
     method: message.method ?? 'GET',
     host: message.headers.host ?? '',
@@ -120,23 +128,23 @@
     body,
     receivedAt,
   }
-  options.handle(request, createAnswer(response, isLeaving))
+  options.handle(request, createAnswer(response, isDraining))
 }
 
 /**
- * Whether the caller has left already. Its leaving stands after its request in the same connection, and is read a turn of the event
- * loop later: a box that is behind would send on requests that nobody waits for.
+ * Whether the caller has already disconnected, so that an overloaded box does not forward abandoned
+ * requests. The end of the connection is read after the request, in a later turn of the event loop.
  */
-async function hasLeft({ socket }: IncomingMessage): Promise<boolean> {
-  for (let turn = 0; turn < TURNS_UNTIL_READ; turn++)
+async function hasDisconnected({ socket }: IncomingMessage): Promise<boolean> {
+  for (let turn = 0; turn < CLOSE_DETECTION_TURNS; turn++)
     await new Promise<void>(resolve => setImmediate(resolve))
   return socket.destroyed || socket.readableEnded
 }
 
-/** The first ends the turn in which the request was read, the second the next one. */
-const TURNS_UNTIL_READ = 2
+/** The rest of the current event loop turn and the whole next one. */
+const CLOSE_DETECTION_TURNS = 2
 
-const NO_BODY = Buffer.alloc(0)
+const EMPTY_BODY = Buffer.alloc(0)
 
 function readBody(
   message: IncomingMessage,
@@ -144,7 +152,7 @@
 ): Promise<Buffer | 'too-large' | 'broken'> {
   const { headers } = message
   if (headers['content-length'] === undefined && headers['transfer-encoding'] === undefined)
-    return Promise.resolve(NO_BODY)
+    return Promise.resolve(EMPTY_BODY)
   if (Number(headers['content-length'] ?? 0) > limit) return Promise.resolve('too-large')
   return new Promise(resolve => {
     const chunks: Buffer[] = []
@@ -160,11 +168,11 @@
   })
 }
 
-function createAnswer(response: ServerResponse, isLeaving: () => boolean): CallerAnswer {
+function createAnswer(response: ServerResponse, isDraining: () => boolean): CallerAnswer {
   return {
     start(status, headers, isFramed) {
       if (response.headersSent) return
-      if (isLeaving() || !isFramed) response.shouldKeepAlive = false
+      if (isDraining() || !isFramed) response.shouldKeepAlive = false
       if (!isFramed) response.useChunkedEncodingByDefault = false
       response.writeHead(status, headers)
     },
--- a/packages/gateway/src/node/eventLog.ts
+++ b/packages/gateway/src/node/eventLog.ts
@@ -10,21 +10,24 @@
   writer: LineWriter
 }
 
-/** Lines of requests a second that are written in full. Above it requests that went well are left out first. */
-const GOOD_REQUESTS_PER_SECOND = 40
-const FAILED_REQUESTS_PER_SECOND = 120
-const NOTES_PER_SECOND = 100
+/** Limits in lines per second. Successful requests have the lowest, so they are dropped first. */
+const MAX_GOOD_REQUESTS_PER_SECOND = 40
+const MAX_FAILED_REQUESTS_PER_SECOND = 120
+const MAX_NOTES_PER_SECOND = 100
 const SECOND: Milliseconds = 1_000
 
 type LineKind = 'good' | 'failed' | 'note'
 
-const LIMITS: Record<LineKind, number> = {
-  good: GOOD_REQUESTS_PER_SECOND,
-  failed: FAILED_REQUESTS_PER_SECOND,
-  note: NOTES_PER_SECOND,
+const MAX_LINES_PER_SECOND: Record<LineKind, number> = {
+  good: MAX_GOOD_REQUESTS_PER_SECOND,
+  failed: MAX_FAILED_REQUESTS_PER_SECOND,
+  note: MAX_NOTES_PER_SECOND,
 }
 
-/** Structured logs, one JSON object a line, bounded for each kind of line; what is left out is counted. */
+/**
+ * Structured log with one JSON object per line, rate-limited for each kind of line. Logs the counts
+ * of dropped lines.
+ */
 export function createEventLog(options: EventLogOptions): EventLog {
   const { box, dataCentre, clock, writer } = options
   const logger = bunyan.createLogger({
@@ -35,20 +38,20 @@
   })
   let second = 0
   let written: Record<LineKind, number> = { good: 0, failed: 0, note: 0 }
-  let leftOut: Record<LineKind, number> = { good: 0, failed: 0, note: 0 }
+  let dropped: Record<LineKind, number> = { good: 0, failed: 0, note: 0 }
 
   const admit = (kind: LineKind): boolean => {
     const now = Math.floor(clock.now() / SECOND)
     if (now !== second) {
-      const lost = writer.takeLeftOut()
-      const any = leftOut.good + leftOut.failed + leftOut.note + lost
-      if (any > 0) logger.warn({ event: 'lines-left-out', ...leftOut, backlog: lost })
+      const overflowed = writer.takeDropped()
+      const total = dropped.good + dropped.failed + dropped.note + overflowed
+      if (total > 0) logger.warn({ event: 'lines-left-out', ...dropped, backlog: overflowed })
       second = now
       written = { good: 0, failed: 0, note: 0 }
-      leftOut = { good: 0, failed: 0, note: 0 }
+      dropped = { good: 0, failed: 0, note: 0 }
     }
-    if (written[kind] >= LIMITS[kind]) {
-      leftOut[kind]++
+    if (written[kind] >= MAX_LINES_PER_SECOND[kind]) {
+      dropped[kind]++
       return false
     }
     written[kind]++
--- a/packages/gateway/src/node/gatewayMetrics.ts
+++ b/packages/gateway/src/node/gatewayMetrics.ts
@@ -1,10 +1,10 @@
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
 import type { CounterName, GatewayMetrics, GaugeName } from '../types/ports.js'
 
-/** Bounds of the latency histogram in seconds: from a quick call to the longest stream. */
+/** Upper bounds in seconds, from a short call to the longest stream. */
 const LATENCY_BUCKETS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12, 25]
 
-const HELP: Record<CounterName, string> = {
+const COUNTER_HELP: Record<CounterName, string> = {
   requests: 'requests by outcome',
   arrivals:
     'requests sent to upstreams: the first of each, repeats, and those that another process turned away',
@@ -21,19 +21,19 @@
   held: 'upstreams that get fewer requests than they could work on, by why',
 }
 
-export interface MetricsPage extends GatewayMetrics {
-  /** The figures in the usual text format. */
+export interface MetricsRegistry extends GatewayMetrics {
+  /** All metrics in the Prometheus text format. */
   text(): Promise<string>
 }
 
-/** Counters and a latency histogram. */
-export function createGatewayMetrics(): MetricsPage {
+/** Creates the Prometheus counters, gauges and latency histogram. */
+export function createGatewayMetrics(): MetricsRegistry {
   const registry = new Registry()
   const counters = {} as Record<CounterName, Counter<'kind'>>
-  for (const name of Object.keys(HELP) as CounterName[]) {
+  for (const name of Object.keys(COUNTER_HELP) as CounterName[]) {
     counters[name] = new Counter({
       name: `yewkeel_${name.toLowerCase()}_total`,
-      help: HELP[name],
+      help: COUNTER_HELP[name],
       labelNames: ['kind'],
       registers: [registry],
     })
--- a/packages/gateway/src/node/lineWriter.ts
+++ b/packages/gateway/src/node/lineWriter.ts
@@ -1,82 +1,82 @@
 import type { Clock, Milliseconds, Timer } from '@yewkeel/decisions'
 import { write } from 'node:fs'
 
-/** Lines beyond this wait for nobody: they are left out and counted. Bytes. */
-const LARGEST_BACKLOG = 256 * 1024
+/** Lines that would exceed this backlog are dropped and counted. */
+const MAX_BACKLOG_BYTES = 256 * 1024
 
 /**
- * Lines of this time go out together: each write wakes a thread of the runtime, and one for each turn of the event loop was 5 %
- * of a box's processor time (profile of a box under mixed load). As much is lost of the lines of a box that loses power.
+ * Lines of this interval are written together, since each write costs a thread switch. A crash
+ * loses them too.
  */
-const GATHERED_FOR: Milliseconds = 50
+const BATCH_INTERVAL: Milliseconds = 50
 
 /** Writes lines to a file descriptor. */
 export interface LineWriter {
   write(line: string): void
-  /** Calls back once what was written so far is out. */
+  /** Calls back when all lines so far, and those written meanwhile, are written. */
   flush(callback: () => void): void
-  /** Lines left out since the last call. */
-  takeLeftOut(): number
+  /** Returns the number of dropped lines since the last call. */
+  takeDropped(): number
 }
 
-/** A writer that never makes its caller wait: one write is under way at a time, and the rest is bounded. */
+/** Creates a writer that never blocks: one write at a time, and a bounded backlog. */
 export function createLineWriter(descriptor: number, clock: Clock): LineWriter {
-  let waiting: string[] = []
-  let size = 0
-  let leftOut = 0
+  let backlog: string[] = []
+  let backlogSize = 0
+  let dropped = 0
   let isWriting = false
-  let gathering: Timer | undefined
-  let onEmpty: (() => void)[] = []
+  let batchTimer: Timer | undefined
+  let flushCallbacks: (() => void)[] = []
 
   const writeAll = (bytes: Buffer, from: number): void => {
     write(descriptor, bytes, from, (error, written) => {
-      const next = from + (written ?? 0)
+      const end = from + (written ?? 0)
       if (error && error.code !== 'EAGAIN') return finishWrite()
-      if (next < bytes.length) return writeAll(bytes, next)
+      if (end < bytes.length) return writeAll(bytes, end)
       finishWrite()
     })
   }
   const finishWrite = (): void => {
     isWriting = false
-    if (onEmpty.length > 0) next()
-    else if (waiting.length > 0) gather()
+    if (flushCallbacks.length > 0) writeBacklog()
+    else if (backlog.length > 0) scheduleWrite()
   }
-  const gather = (): void => {
-    gathering ??= clock.after(GATHERED_FOR, next)
+  const scheduleWrite = (): void => {
+    batchTimer ??= clock.after(BATCH_INTERVAL, writeBacklog)
   }
-  const next = (): void => {
-    gathering?.cancel()
-    gathering = undefined
+  const writeBacklog = (): void => {
+    batchTimer?.cancel()
+    batchTimer = undefined
     if (isWriting) return
-    if (waiting.length === 0) {
-      const callbacks = onEmpty
-      onEmpty = []
+    if (backlog.length === 0) {
+      const callbacks = flushCallbacks
+      flushCallbacks = []
       for (const callback of callbacks) callback()
       return
     }
     isWriting = true
-    const bytes = Buffer.from(waiting.join(''))
-    waiting = []
-    size = 0
+    const bytes = Buffer.from(backlog.join(''))
+    backlog = []
+    backlogSize = 0
     writeAll(bytes, 0)
   }
   return {
     write(line) {
-      if (size + line.length > LARGEST_BACKLOG) {
-        leftOut++
+      if (backlogSize + line.length > MAX_BACKLOG_BYTES) {
+        dropped++
         return
       }
-      waiting.push(line)
-      size += line.length
-      if (!isWriting) gather()
+      backlog.push(line)
+      backlogSize += line.length
+      if (!isWriting) scheduleWrite()
     },
     flush(callback) {
-      onEmpty.push(callback)
-      setImmediate(next)
+      flushCallbacks.push(callback)
+      setImmediate(writeBacklog)
     },
-    takeLeftOut() {
-      const count = leftOut
-      leftOut = 0
+    takeDropped() {
+      const count = dropped
+      dropped = 0
       return count
     },
   }
--- a/packages/gateway/src/node/listenOn.ts
+++ b/packages/gateway/src/node/listenOn.ts
@@ -1,7 +1,7 @@
 import type { Server } from 'node:net'
 import { splitAddress } from '@yewkeel/box'
 
-/** Listens on `host:port`; port 0 takes any free one. Rejects with the error where that cannot be. */
+/** Listens on `host:port`; port 0 takes any free port. Rejects with the error if that fails. */
 export function listenOn(
   server: Server,
   address: string,
--- a/packages/gateway/src/node/runGateway.ts
+++ b/packages/gateway/src/node/runGateway.ts
@@ -9,9 +9,10 @@
 import { createGatewayMetrics } from './gatewayMetrics.js'
 import { listenOn } from './listenOn.js'
 
-/** What callers are told about where to connect. */
+/** Entry addresses for a caller. */
 export interface DirectoryAnswer {
   addresses: string[]
+  /** How long the caller may use the addresses. */
   lifetime: Milliseconds
 }
 
@@ -23,9 +24,9 @@
   log: EventLog
   dialect: Dialect
   store: Store
-  /** The entry, where it was opened before the program was loaded. */
+  /** The entry, if it was opened before the program was loaded. */
   openedEntry?: OpenedEntry
-  /** Reads a caller's question for addresses: undefined if it is none, else the data centre it names. */
+  /** Parses a request for addresses and the data centre it names; undefined for other targets. */
   readDirectoryQuery(target: string): { dataCentre?: string } | undefined
   writeDirectoryAnswer(answer: DirectoryAnswer): string
   readinessPath: string
@@ -34,22 +35,22 @@
 
 export interface RunningGateway {
   gateway: Gateway
-  /** A planned stop: nothing under way is cut off. */
+  /** Drains the box, at most for `stopWithin` of the settings, and stops it. */
   stop(): Promise<void>
 }
 
-/** Gossip is useless when it is late: a link with more than this waiting is opened anew. Bytes. */
-const GOSSIP_BACKLOG = 512 * 1024
-/** Configurations and lists are compressed some tenfold; gossip is smaller and mostly numbers. Bytes. */
-const COMPRESS_FROM = 8 * 1024
-/** After this callers have asked for new addresses, and connections that rest may be closed. */
-const CLOSE_IDLE_AFTER: Milliseconds = 1_500
-const LEAST_LEAVING: Milliseconds = 2_500
-const LOOK_AT_LEAVING: Milliseconds = 100
-/** A leaving box ends when it had no request for this long. */
-const QUIET_BEFORE_END: Milliseconds = 500
+/** A peer connection with a larger send backlog is reopened, since late gossip is useless. */
+const MAX_GOSSIP_BACKLOG_BYTES = 512 * 1024
+/** Messages from this size are compressed: configurations and lists, but not gossip. */
+const MIN_COMPRESSED_BYTES = 8 * 1024
+/** Delay before a draining box closes idle connections; callers refresh their addresses meanwhile. */
+const IDLE_CLOSE_DELAY: Milliseconds = 1_500
+const MIN_DRAIN_DURATION: Milliseconds = 2_500
+const DRAIN_POLL_INTERVAL: Milliseconds = 100
+/** A draining box stops after this long without a request. */
+const DRAIN_QUIET_DURATION: Milliseconds = 500
 
-/** Runs a gateway on real sockets. */
+/** Runs a gateway on network sockets. */
 export async function runGateway(options: RunGatewayOptions): Promise<RunningGateway> {
   const { settings, clock, log } = options
   const metrics = createGatewayMetrics()
@@ -66,8 +67,8 @@
     secret: settings.peerSecret,
     clock,
     log: peerLog(log),
-    largestBacklog: GOSSIP_BACKLOG,
-    compressFrom: COMPRESS_FROM,
+    largestBacklog: MAX_GOSSIP_BACKLOG_BYTES,
+    compressFrom: MIN_COMPRESSED_BYTES,
   })
   const gateway = createGateway({
     ...options,
@@ -86,7 +87,7 @@
     isReady: () => gateway.isReady(),
     clock,
     bodyBytes: () =>
-      gateway.services.operators.index?.configuration.limits.bodyBytes ?? DEFAULT_BODY_BYTES,
+      gateway.services.operators.index?.configuration.limits.bodyBytes ?? DEFAULT_MAX_BODY_BYTES,
     handle: (request, answer) => gateway.handle(request, answer),
   })
   await transport.open()
@@ -112,7 +113,7 @@
   return {
     gateway,
     async stop() {
-      await leave(gateway, entry, settings, clock, log)
+      await drain(gateway, entry, settings, clock, log)
       await gateway.stop()
       for (const server of servers) server.close()
       entry.close()
@@ -120,10 +121,13 @@
   }
 }
 
-const DEFAULT_BODY_BYTES = 4 * 1024 * 1024
+const DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
 
-/** Serves until callers have let go and nothing is under way, or until time is up. */
-async function leave(
+/**
+ * Drains the box: serves until no request has been in flight for a while, or until `stopWithin` has
+ * passed.
+ */
+async function drain(
   gateway: Gateway,
   entry: EntryServer,
   settings: GatewaySettings,
@@ -132,16 +136,16 @@
 ): Promise<void> {
   const startedAt = clock.now()
   gateway.beginToLeave()
-  entry.beginToLeave()
-  let busyAt = startedAt
+  entry.beginDrain()
+  let lastBusyAt = startedAt
   for (;;) {
-    await sleep(clock, LOOK_AT_LEAVING)
+    await sleep(clock, DRAIN_POLL_INTERVAL)
     const now = clock.now()
-    if (entry.open > 0) busyAt = now
-    if (now - startedAt > CLOSE_IDLE_AFTER) entry.closeIdle()
-    const isQuiet = now - busyAt > QUIET_BEFORE_END && now - startedAt > LEAST_LEAVING
+    if (entry.openRequests > 0) lastBusyAt = now
+    if (now - startedAt > IDLE_CLOSE_DELAY) entry.closeIdle()
+    const isQuiet = now - lastBusyAt > DRAIN_QUIET_DURATION && now - startedAt > MIN_DRAIN_DURATION
     if (!isQuiet && now - startedAt < settings.stopWithin) continue
-    log.note('stopped', { after: Math.round(now - startedAt), underWay: entry.open })
+    log.note('stopped', { after: Math.round(now - startedAt), underWay: entry.openRequests })
     return
   }
 }
@@ -172,7 +176,7 @@
   return server
 }
 
-/** The transport's log lines as notes. */
+/** Writes the transport's log lines to the event log. */
 function peerLog(log: EventLog): Log {
   const note = (fields: object, message: string) => log.note('peer-link', { message, ...fields })
   return { info: note, warn: note, error: note }
--- a/packages/gateway/src/node/upstreamChannels.ts
+++ b/packages/gateway/src/node/upstreamChannels.ts
@@ -2,7 +2,7 @@
 import type { Socket } from 'node:net'
 import { Client, type Dispatcher } from 'undici'
 import type { RawHeaders } from '../types/ports.js'
-import { createConnectInTime } from './connectInTime.js'
+import { createTimedConnector } from './connectInTime.js'
 
 /** A request as it goes to an upstream. */
 export interface ExchangeRequest {
@@ -10,11 +10,11 @@
   target: string
   headers: string[]
   body: Buffer
-  /** Sent on a connection of its own, where no late bytes of an earlier exchange can be taken for its answer. */
-  onFreshChannel: boolean
+  /** Uses a new connection, which cannot carry late bytes of an earlier exchange. */
+  onNewConnection: boolean
 }
 
-/** Hears how an exchange goes on. After `onEnd` or `onFailure` nothing more comes. */
+/** Callbacks of an exchange. `onEnd` or `onFailure` is the last. */
 export interface ExchangeListener {
   onHead(status: number, headers: RawHeaders): void
   onChunk(chunk: Buffer): void
@@ -25,58 +25,59 @@
 
 /** One request and its answer. */
 export interface Exchange {
-  /** Ends the exchange and its connection. The listener hears nothing more. */
+  /** Ends the exchange, closes its connection and calls no listener any more. */
   cancel(): void
 }
 
-/** The connections of this box to one upstream. */
+/** Connection pool of this box for one upstream. */
 export interface Channels {
-  /** Connections that are open, in use or idle. */
+  /** Number of connections, in use or idle. */
   readonly open: number
   readonly idle: number
   send(request: ExchangeRequest, listener: ExchangeListener): Exchange
-  /** Takes no more requests; connections in use end with their exchange. */
+  /** Closes idle connections now and the others after their exchange. */
   retire(): void
 }
 
-/** Opens the connections to the upstream at an address, `host:port`. */
+/** Creates the connection pool of the upstream at `host:port`. */
 export type OpenChannels = (address: string) => Channels
 
-/** Idle connections are closed after this, unless the upstream names a shorter time. */
+/** Idle connections close after this, or earlier if the upstream announces a shorter timeout. */
 const IDLE_TIMEOUT: Milliseconds = 8_000
-/** Closed this much sooner than the upstream would. */
-const IDLE_MARGIN: Milliseconds = 1_200
+/** Connections close this much before the timeout that the upstream announces. */
+const IDLE_TIMEOUT_MARGIN: Milliseconds = 1_200
 
-/** The client library takes a server's name that its types do not have. */
+/** undici accepts `servername`, although its types do not declare it. */
 interface NamedDispatch extends Dispatcher.DispatchOptions {
   servername: string
 }
 
 /**
- * Means something to TLS alone. Without one the client library tests the Host header of each request against the pattern of
- * IPv6 addresses, which V8 compiles anew whenever it has thrown it away: 7 % of a box's own processor time by a profile of
- * 17 boxes at 75 requests a second.
+ * Only TLS uses it, but without a name undici matches each Host header against a slow IPv6 pattern.
  */
 const UNUSED_SERVER_NAME = 'upstream'
 
-/** One connection, and whether it broke: the client takes an answer without a length for whole even then. */
-interface Channel {
+/**
+ * A connection, and whether it was reset: undici ends an answer without a length as complete even
+ * then.
+ */
+interface Connection {
   client: Client
   isBroken: boolean
 }
 
-/** Connections over TCP. One request at a time on each; idle ones are used again. */
+/** Connection pool over TCP without pipelining; idle connections are reused. */
 export class UpstreamChannels implements Channels {
-  readonly #idle: Channel[] = []
-  readonly #open = new Set<Channel>()
-  readonly #connect: ReturnType<typeof createConnectInTime>
+  readonly #idle: Connection[] = []
+  readonly #open = new Set<Connection>()
+  readonly #connect: ReturnType<typeof createTimedConnector>
   #isRetired = false
 
   constructor(
     private readonly address: string,
     clock: Clock,
   ) {
-    this.#connect = createConnectInTime(clock)
+    this.#connect = createTimedConnector(clock)
   }
 
   get open(): number {
@@ -88,16 +89,16 @@
   }
 
   send(request: ExchangeRequest, listener: ExchangeListener): Exchange {
-    const channel = this.#take(request.onFreshChannel)
+    const connection = this.#acquire(request.onNewConnection)
     let isOver = false
     let wasSent = false
     const finish = () => {
       isOver = true
-      this.#giveBack(channel)
+      this.#release(connection)
     }
     const fail = (error: Error) => {
       isOver = true
-      this.#drop(channel)
+      this.#discard(connection)
       listener.onFailure(error, wasSent)
     }
     const options: NamedDispatch = {
@@ -107,7 +108,7 @@
       body: request.body.length > 0 ? request.body : null,
       servername: UNUSED_SERVER_NAME,
     }
-    channel.client.dispatch(options, {
+    connection.client.dispatch(options, {
       onRequestStart: () => {
         wasSent = true
       },
@@ -124,7 +125,7 @@
       },
       onResponseEnd: () => {
         if (isOver) return
-        if (channel.isBroken) return fail(new Error('the connection broke in the answer'))
+        if (connection.isBroken) return fail(new Error('the connection broke in the answer'))
         finish()
         listener.onEnd()
       },
@@ -136,60 +137,60 @@
       cancel: () => {
         if (isOver) return
         isOver = true
-        this.#drop(channel)
+        this.#discard(connection)
       },
     }
   }
 
   retire(): void {
     this.#isRetired = true
-    for (const channel of this.#idle.splice(0)) this.#drop(channel)
+    for (const connection of this.#idle.splice(0)) this.#discard(connection)
   }
 
-  #take(fresh: boolean): Channel {
-    const kept = fresh ? undefined : this.#idle.pop()
-    if (kept) return kept
+  #acquire(isNew: boolean): Connection {
+    const idle = isNew ? undefined : this.#idle.pop()
+    if (idle) return idle
     const client = new Client(`http://${this.address}`, {
       pipelining: 1,
       connect: (options, callback) =>
         this.#connect(options, (...result) => {
           const [, socket] = result
-          if (socket) watchBreak(socket, channel)
+          if (socket) watchReset(socket, connection)
           callback(...result)
         }),
       headersTimeout: 0,
       bodyTimeout: 0,
       keepAliveTimeout: IDLE_TIMEOUT,
       keepAliveMaxTimeout: IDLE_TIMEOUT,
-      keepAliveTimeoutThreshold: IDLE_MARGIN,
+      keepAliveTimeoutThreshold: IDLE_TIMEOUT_MARGIN,
     })
-    const channel: Channel = { client, isBroken: false }
-    this.#open.add(channel)
+    const connection: Connection = { client, isBroken: false }
+    this.#open.add(connection)
     client.on('disconnect', () => {
-      const at = this.#idle.indexOf(channel)
-      if (at === -1) return
-      this.#idle.splice(at, 1)
-      this.#drop(channel)
+      const index = this.#idle.indexOf(connection)
+      if (index === -1) return
+      this.#idle.splice(index, 1)
+      this.#discard(connection)
     })
-    return channel
+    return connection
   }
 
-  #giveBack(channel: Channel): void {
-    const { client } = channel
-    if (this.#isRetired || client.destroyed || client.closed) return this.#drop(channel)
-    this.#idle.push(channel)
+  #release(connection: Connection): void {
+    const { client } = connection
+    if (this.#isRetired || client.destroyed || client.closed) return this.#discard(connection)
+    this.#idle.push(connection)
   }
 
-  #drop(channel: Channel): void {
-    this.#open.delete(channel)
-    // What was under way on it has been told of already.
-    channel.client.destroy().catch(() => undefined)
+  #discard(connection: Connection): void {
+    this.#open.delete(connection)
+    // The listener of its exchange has already been called.
+    connection.client.destroy().catch(() => undefined)
   }
 }
 
-/** Hears of a reset before the client does. */
-function watchBreak(socket: Socket, channel: Channel): void {
+/** Marks a connection as broken on a reset, before the client reports it. */
+function watchReset(socket: Socket, connection: Connection): void {
   socket.once('error', () => {
-    channel.isBroken = true
+    connection.isBroken = true
   })
 }
--- a/packages/gateway/test/entryServer.test.ts
+++ b/packages/gateway/test/entryServer.test.ts
@@ -5,7 +5,7 @@
 
 const REQUEST = 'GET /desk/1 HTTP/1.1\r\nhost: desk.example\r\n\r\n'
 
-/** An entry as it is opened before the program is loaded. */
+/** Opens an entry as it is done before the program is loaded. */
 async function openEntry(): Promise<OpenedEntry> {
   const waiting: OpenedEntry['waiting'] = []
   const server = createServer({ pauseOnConnect: true }, socket => waiting.push(socket))
@@ -13,32 +13,33 @@
   return { server, waiting }
 }
 
-/** A caller that sends one request and keeps what comes back. */
+/** Sends one request and collects the response. */
 function call(port: number) {
-  const caller = { text: '', isClosed: false, end: () => void socket.destroy() }
+  const response = { text: '', isClosed: false, end: () => void socket.destroy() }
   const socket = connect(port, '127.0.0.1', () => socket.write(REQUEST))
-  socket.on('data', bytes => (caller.text += bytes.toString()))
-  socket.on('close', () => (caller.isClosed = true))
-  return caller
+  socket.on('data', bytes => (response.text += bytes.toString()))
+  socket.on('close', () => (response.isClosed = true))
+  return response
 }
 
-describe('an entry that was opened before the program', () => {
+describe('an entry opened before the program was loaded', () => {
   let entry: EntryServer
   let opened: OpenedEntry
   let clock: ManualClock
   let isReady: boolean
-  let isHandled: boolean[]
+  let readinessAtHandling: boolean[]
 
   async function until(condition: () => boolean): Promise<void> {
     for (let turn = 0; turn < 20_000 && !condition(); turn++)
       await new Promise<void>(resolve => setImmediate(resolve))
-    if (!condition()) throw new Error('what was waited for did not come about')
+    if (!condition())
+      throw new Error('the condition was still false after 20,000 turns of the event loop')
   }
 
   beforeEach(async () => {
     clock = new ManualClock()
     isReady = false
-    isHandled = []
+    readinessAtHandling = []
     opened = await openEntry()
   })
   afterEach(() => entry.close())
@@ -51,7 +52,7 @@
       isReady: () => isReady,
       bodyBytes: () => 1_000,
       handle(_request, answer) {
-        isHandled.push(isReady)
+        readinessAtHandling.push(isReady)
         answer.start(200, ['content-length', '4'], true)
         answer.end('done')
       },
@@ -59,7 +60,7 @@
     return (opened.server.address() as AddressInfo).port
   }
 
-  it('answers those that came before, and those that come later, once the box is ready', async () => {
+  it('serves connections from before and after the takeover once the box is ready', async () => {
     const { port } = opened.server.address() as AddressInfo
     const early = call(port)
     await until(() => opened.waiting.length === 1)
@@ -71,18 +72,18 @@
     await until(() => early.text.endsWith('done'))
     const later = call(port)
     await until(() => later.text.endsWith('done'))
-    expect(isHandled).to.eql([true, true])
+    expect(readinessAtHandling).to.eql([true, true])
     entry.closeIdle()
     await until(() => early.isClosed && later.isClosed)
   })
 
-  it('reads from them although the box is not ready when that takes long: they are refused and may go elsewhere', async () => {
+  it('handles waiting requests after 400 ms even if the box is not ready', async () => {
     const early = call(await start())
     await until(() => opened.waiting.length === 1)
     await clock.advance(390)
-    expect(isHandled).to.eql([])
+    expect(readinessAtHandling).to.eql([])
     await clock.advance(20)
     await until(() => early.text.endsWith('done'))
-    expect(isHandled).to.eql([false])
+    expect(readinessAtHandling).to.eql([false])
   })
 })
--- a/packages/gateway/test/lineWriter.test.ts
+++ b/packages/gateway/test/lineWriter.test.ts
@@ -5,7 +5,7 @@
 import { ManualClock } from '@yewkeel/decisions'
 import { createLineWriter, type LineWriter } from '../src/index.js'
 
-describe('the writer of lines', () => {
+describe('createLineWriter', () => {
   const folder = mkdtempSync(join(tmpdir(), 'yewkeel-lines-'))
   const file = join(folder, 'lines')
   const descriptor = openSync(file, 'w')
@@ -15,7 +15,7 @@
     rmSync(folder, { recursive: true })
   })
 
-  it('gathers lines for a moment, and writes them in order', async () => {
+  it('writes the lines of 50 ms together, in order', async () => {
     const clock = new ManualClock()
     const writer = createLineWriter(descriptor, clock)
     writer.write('one\n')
@@ -27,7 +27,7 @@
     expect(readFileSync(file, 'utf8')).to.equal('one\ntwo\n')
   })
 
-  it('writes all at once when it is flushed, also lines that came meanwhile', async () => {
+  it('writes all lines on a flush, including those added before it completes', async () => {
     const writer = createLineWriter(descriptor, new ManualClock())
     writer.write('three\n')
     const flushed = flush(writer)
@@ -36,10 +36,10 @@
     expect(readFileSync(file, 'utf8')).to.equal('one\ntwo\nthree\nfour\n')
   })
 
-  it('leaves out and counts what would make it wait', () => {
+  it('drops and counts lines beyond a backlog of 256 KiB', () => {
     const writer = createLineWriter(descriptor, new ManualClock())
     for (let line = 0; line < 300; line++) writer.write('x'.repeat(1_024))
-    expect(writer.takeLeftOut()).to.equal(44)
-    expect(writer.takeLeftOut()).to.equal(0)
+    expect(writer.takeDropped()).to.equal(44)
+    expect(writer.takeDropped()).to.equal(0)
   })
 })
--- a/packages/gateway/test/upstreamChannels.test.ts
+++ b/packages/gateway/test/upstreamChannels.test.ts
@@ -8,15 +8,15 @@
   target: '/',
   headers: [],
   body: Buffer.from('hello'),
-  onFreshChannel: false,
+  onNewConnection: false,
 }
 
 const WITHOUT_LENGTH = 'HTTP/1.1 200 OK\r\nsigned: 1\r\n\r\nhalf of it'
 
 type Ending = 'whole' | 'failed'
 
-/** An upstream that reads nothing, so that destroying its socket resets the connection. */
-async function startMuteServer(onConnection: (socket: Socket) => void) {
+/** A server that does not read, so that destroying its socket resets the connection. */
+async function startNonReadingServer(onConnection: (socket: Socket) => void) {
   const server = createServer({ pauseOnConnect: true }, onConnection)
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
   return { server, address: `127.0.0.1:${(server.address() as AddressInfo).port}` }
@@ -35,10 +35,10 @@
   })
 }
 
-describe('connections to an upstream', () => {
-  it('do not give an answer without a length for whole when the connection is reset', async () => {
+describe('UpstreamChannels', () => {
+  it('fails an answer without a length when the connection is reset', async () => {
     let upstream: Socket | undefined
-    const { server, address } = await startMuteServer(socket => {
+    const { server, address } = await startNonReadingServer(socket => {
       upstream = socket
       socket.write(WITHOUT_LENGTH)
     })
@@ -47,8 +47,8 @@
     expect(ending).to.equal('failed')
   })
 
-  it('give an answer without a length for whole when the upstream closes the connection', async () => {
-    const { server, address } = await startMuteServer(socket => {
+  it('completes an answer without a length when the upstream closes the connection', async () => {
+    const { server, address } = await startNonReadingServer(socket => {
       socket.resume()
       socket.end(WITHOUT_LENGTH)
     })
@@ -57,8 +57,8 @@
     expect(ending).to.equal('whole')
   })
 
-  it('say that nothing was sent when the upstream cannot be reached', async () => {
-    const { server, address } = await startMuteServer(() => {})
+  it('reports that nothing was sent when the connection is refused', async () => {
+    const { server, address } = await startNonReadingServer(() => {})
     await new Promise(resolve => server.close(resolve))
     const wasSent = await new Promise(resolve => {
       const listener = { onHead() {}, onChunk() {}, onEnd() {} }
@@ -70,18 +70,18 @@
     expect(wasSent).to.equal(false)
   })
 
-  it('are used again, but not for a request that wants one of its own', async () => {
+  it('reuses a connection, but opens one for a request with `onNewConnection`', async () => {
     let connections = 0
-    const { server, address } = await startMuteServer(socket => {
+    const { server, address } = await startNonReadingServer(socket => {
       connections++
       socket.on('data', () => socket.write('HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'))
       socket.resume()
     })
     const channels = new UpstreamChannels(address, new ManualClock())
-    const send = (onFreshChannel: boolean) =>
+    const send = (onNewConnection: boolean) =>
       new Promise<void>(resolve => {
         const listener = { onHead() {}, onChunk() {}, onFailure: () => resolve() }
-        channels.send({ ...REQUEST, onFreshChannel }, { ...listener, onEnd: resolve })
+        channels.send({ ...REQUEST, onNewConnection }, { ...listener, onEnd: resolve })
       })
     await send(false)
     await send(false)
