--- a/packages/gateway/src/requests/upstreamSearch.ts
+++ b/packages/gateway/src/requests/upstreamSearch.ts
@@ -18,7 +18,7 @@
   tried: readonly string[]
   /** Versions that the request may use. */
   admits(version: string): boolean
-  /** Consecutive upstream crashes during this request. */
+  /** Consecutive upstream crashes attributed to this request. */
   crashes(): number
   isOver(): boolean
 }
