--- a/packages/gateway/src/createGateway.ts
+++ b/packages/gateway/src/createGateway.ts
@@ -77,20 +77,20 @@
 }
 
 /** A round of gossip; the directory and the proofs of freshness allow four rounds without news. */
-const GOSSIP_EVERY: Milliseconds = 400
-const ROLLOUT_EVERY: Milliseconds = 100
+const GOSSIP_INTERVAL: Milliseconds = 400
+const ROLLOUT_INTERVAL: Milliseconds = 100
 /** News that come together are told together. */
-const ANNOUNCE_AFTER: Milliseconds = 5
+const ANNOUNCE_DELAY: Milliseconds = 5
 /** Bad answers of a version on trial are told this often at the most, between the rounds. */
-const BAD_ANSWERS_EVERY: Milliseconds = 150
+const BAD_ANSWER_ANNOUNCE_INTERVAL: Milliseconds = 150
 /** A box that starts has heard of others by then, if there are any: links open within a round of gossip. */
-const HEARD_OTHERS_WITHIN: Milliseconds = 1_200
+const DISCOVERY_PERIOD: Milliseconds = 1_200
 /** Boxes that read the store for all others. Two, so that the loss of one leaves no gap. */
-const READERS = 2
+const STORE_READER_COUNT = 2
 /** Part of an upstream's connections that all boxes together use. */
-const CHANNEL_PART = 0.85
-const LEAST_CHANNELS = 3
-const MOST_ADDRESSES = 64
+const CONNECTION_SHARE = 0.85
+const MIN_CONNECTIONS = 3
+const MAX_ADDRESSES = 64
 
 /** Builds a gateway from its settings, a clock, a source of chance and what speaks to the outside. */
 export function createGateway(options: GatewayOptions): Gateway {
@@ -114,9 +114,9 @@
   })
   const work: EngineWork = new EngineWork({
     clock,
-    tell: entries => peers.tellWork(entries),
-    role: () => peers.role,
-    listeners: () => peers.listeners,
+    tell: entries => peers.sendWork(entries),
+    role: () => peers.workRole,
+    listeners: () => peers.workRecipientCount,
   })
   const budget: SendBudget = new SendBudget({
     clock,
@@ -127,7 +127,7 @@
     boxes: () => peers.places(),
     limited: () => statements.limited,
     hearsOthers: () => peers.live().length > 0,
-    boxCount: () => (peers.hasEntries ? Math.max(1, peers.entered) : 0),
+    boxCount: () => (peers.hasEntries ? Math.max(1, peers.registeredBoxCount) : 0),
   })
   const statements: StatementTask = new StatementTask({
     clock,
@@ -136,14 +136,14 @@
     find: run => upstreams.ofRun(run),
     all: () => upstreams.all(),
     pauses,
-    tell: entries => peers.tellStatements(entries),
+    tell: entries => peers.announceStatements(entries),
   })
   const suspects: CrashSuspects = new CrashSuspects({
     holder: voterOf(identity),
     clock,
     random,
     note: (event, fields) => log.note(event, fields),
-    tell: news => peers.tellSuspects(news),
+    tell: news => peers.announceSuspects(news),
     isMesh: () => peers.isMesh,
     onCondemned(entry) {
       metrics.count('crashes', 'condemned')
@@ -181,7 +181,7 @@
       services.stalls.giveUpOn(upstream)
       reachability.awaitReturn(upstream)
     },
-    onGone: ({ run }) => peers.tellGone([run]),
+    onGone: ({ run }) => peers.announceGone([run]),
   })
   const reachability = new ReachabilityWatch({
     clock,
@@ -272,8 +272,8 @@
     onUpstreamsGone: runs => runs.filter(run => upstreams.takeGone(run)),
     onRollouts: statuses => rollouts.takeStatuses(statuses),
     onVerdicts: verdicts => rollouts.takeVerdicts(verdicts),
-    onWork: (box, entries) => work.takePeerWork(box, entries),
-    onWorkSums: entries => work.takeSums(entries),
+    onWork: (box, entries) => work.recordPeerWork(box, entries),
+    onWorkSums: entries => work.recordDataCentreWork(entries),
     onWorkRole: () => work.changeRole(),
     currentWork: () => work.all(),
     onStoreClock: (storeNow, at) => rollouts.noteStoreClock(storeNow, at),
@@ -306,7 +306,7 @@
     beginToServe()
     if (isAnnouncing) return
     isAnnouncing = true
-    clock.after(ANNOUNCE_AFTER, () => {
+    clock.after(ANNOUNCE_DELAY, () => {
       isAnnouncing = false
       peers.tick()
     })
@@ -314,7 +314,7 @@
 
   /** A version that turns bad late is judged within a second or so, of which waiting for the next round would take half. */
   function announceBadAnswer(): void {
-    if (clock.now() - badAnswerToldAt < BAD_ANSWERS_EVERY) return
+    if (clock.now() - badAnswerToldAt < BAD_ANSWER_ANNOUNCE_INTERVAL) return
     badAnswerToldAt = clock.now()
     announce()
   }
@@ -324,12 +324,12 @@
    * of each.
    */
   function isWaitingForOthers(): boolean {
-    return peers.live().length === 0 && clock.now() - startedAt < HEARD_OTHERS_WITHIN
+    return peers.live().length === 0 && clock.now() - startedAt < DISCOVERY_PERIOD
   }
 
   /** Whether this box reads the store for all others. */
   function isReader(): boolean {
-    return !isWaitingForOthers() && rank() < READERS
+    return !isWaitingForOthers() && rank() < STORE_READER_COUNT
   }
 
   /** This box's place by name among the boxes that serve. Those that have lost the store come after those that have not. */
@@ -344,7 +344,7 @@
 
   /** Boxes that share what all may use together: those entered in the store count before they are heard of. */
   function knownBoxCount(): number {
-    return Math.max(services.boxCount(), peers.entered)
+    return Math.max(services.boxCount(), peers.registeredBoxCount)
   }
 
   metrics.watch('held', () => upstreams.heldBack())
@@ -376,7 +376,7 @@
     sharingBoxes: () => (peers.hasEntries ? knownBoxCount() : Infinity),
     channelLimit(service) {
       const most = operators.index?.service(service)?.maxConnections ?? Infinity
-      return Math.max(LEAST_CHANNELS, Math.floor((CHANNEL_PART * most) / knownBoxCount()))
+      return Math.max(MIN_CONNECTIONS, Math.floor((CONNECTION_SHARE * most) / knownBoxCount()))
     },
   }
 
@@ -386,9 +386,9 @@
     log,
     store,
     isFirstStart: settings.isFirstStart,
-    clearsAway: () => rank() === 0,
+    removesSilentEntries: () => rank() === 0,
     silentEntries: () => peers.silentEntries(),
-    onEntries: known => peers.takeEntries(known),
+    onEntries: known => peers.replaceEntries(known),
   })
 
   return {
@@ -400,8 +400,8 @@
       condemned.start()
       rounds.push(
         services.pauses.start(),
-        every(clock, GOSSIP_EVERY, () => peers.tick()),
-        every(clock, ROLLOUT_EVERY, () => rollouts.tick()),
+        every(clock, GOSSIP_INTERVAL, () => peers.tick()),
+        every(clock, ROLLOUT_INTERVAL, () => rollouts.tick()),
       )
     },
     handle(request, answer) {
@@ -417,7 +417,7 @@
       const known = [...own, ...others]
       const near = known.filter(box => box.dataCentre === dataCentre)
       const far = known.filter(box => box.dataCentre !== dataCentre)
-      return [...near, ...far].slice(0, MOST_ADDRESSES).map(box => box.entryAddress)
+      return [...near, ...far].slice(0, MAX_ADDRESSES).map(box => box.entryAddress)
     },
     isReady: () => state === 'serving',
     reload(limits) {
--- a/packages/gateway/src/tasks/condemnedTask.ts
+++ b/packages/gateway/src/tasks/condemnedTask.ts
@@ -9,29 +9,34 @@
   log: EventLog
   store: Store
   suspects: CrashSuspects
-  /** All boxes start for the first time: nothing was condemned yet. */
+  /**
+   * All boxes of the deployment start for the first time, so that no request is quarantined yet.
+   */
   isFirstStart: boolean
-  /** Whether this box reads and clears for all others. */
+  /** Whether this box reads the store and removes expired entries for all others. */
   isReader(): boolean
 }
 
-/** A box that starts looks this often whether it is the one to read ... */
-const LOOK_EVERY: Milliseconds = 50
-/** ... for so long; by then those that read have told the others, and it takes over only if they are gone. */
-const LOOKS_CLOSELY_FOR: Milliseconds = 3_000
-const LOOK_LATER_EVERY: Milliseconds = 1_000
-const AFTER_FAILURE: Milliseconds = 1_500
-const FORGET_EVERY: Milliseconds = 30_000
-const WRITE_TRIES = 3
+/** How often a starting box checks whether it is a reader. */
+const FAST_POLL_INTERVAL: Milliseconds = 50
+/**
+ * After this a running reader has sent its entries to the others, and polling only covers its loss.
+ */
+const FAST_POLL_PERIOD: Milliseconds = 3_000
+const SLOW_POLL_INTERVAL: Milliseconds = 1_000
+const RETRY_DELAY: Milliseconds = 1_500
+const EXPIRY_INTERVAL: Milliseconds = 30_000
+const MAX_WRITE_ATTEMPTS = 3
 
 /**
- * Keeps condemned requests in the store, so that they stay condemned when all boxes end at once. A box that starts learns them of its neighbours;
- * only where none knows, the first boxes read the store. One write for each condemned request, one call to take lapsed ones away.
+ * Stores condemned requests: quarantined ones that are rejected because they crash upstreams. The
+ * store preserves them when all boxes restart at once. A starting box receives them from its
+ * neighbours; only if none has them do the readers read the store.
  */
 export class CondemnedTask {
-  /** All that was condemned before this run of the box began is known. */
+  /** Whether this box has all entries from before it started. */
   isComplete: boolean
-  #rounds: Timer | undefined
+  #expiryTimer: Timer | undefined
   #isStopped = false
 
   constructor(private readonly options: CondemnedTaskOptions) {
@@ -40,20 +45,20 @@
 
   start(): void {
     void this.#read()
-    this.#rounds = every(this.options.clock, FORGET_EVERY, () => void this.#forget())
+    this.#expiryTimer = every(this.options.clock, EXPIRY_INTERVAL, () => void this.#removeExpired())
   }
 
   stop(): void {
     this.#isStopped = true
-    this.#rounds?.cancel()
+    this.#expiryTimer?.cancel()
   }
 
   async #read(): Promise<void> {
     const { clock, log, store, suspects, isReader } = this.options
     const startedAt = clock.now()
     while (!this.isComplete && !this.#isStopped) {
-      const isStarting = clock.now() - startedAt < LOOKS_CLOSELY_FOR
-      await sleep(clock, isStarting ? LOOK_EVERY : LOOK_LATER_EVERY)
+      const isStarting = clock.now() - startedAt < FAST_POLL_PERIOD
+      await sleep(clock, isStarting ? FAST_POLL_INTERVAL : SLOW_POLL_INTERVAL)
       if (this.isComplete || !isReader()) continue
       try {
         const entries = await store.readCondemned()
@@ -62,35 +67,37 @@
         this.isComplete = true
       } catch (error) {
         log.note('condemned-read-failed', { error: String(error) })
-        await sleep(clock, AFTER_FAILURE)
+        await sleep(clock, RETRY_DELAY)
       }
     }
   }
 
-  /** Others know of it without the store; it serves when all have ended. */
+  /**
+   * Writes an entry with retries. A final failure is only logged: other boxes also have the entry.
+   */
   async write(entry: CondemnedEntry): Promise<void> {
     const { clock, log, store } = this.options
-    for (let tried = 1; tried <= WRITE_TRIES; tried++) {
+    for (let tried = 1; tried <= MAX_WRITE_ATTEMPTS; tried++) {
       try {
         await store.writeCondemned(entry)
         return
       } catch (error) {
         log.note('condemned-write-failed', { request: entry.request, tried, error: String(error) })
-        await sleep(clock, AFTER_FAILURE * tried)
+        await sleep(clock, RETRY_DELAY * tried)
       }
     }
   }
 
-  async #forget(): Promise<void> {
+  async #removeExpired(): Promise<void> {
     const { log, store, suspects, isReader } = this.options
-    const lapsed = suspects.forgetLapsed()
-    if (lapsed.length === 0) return
-    log.note('condemned-lapsed', { requests: lapsed })
+    const expired = suspects.forgetLapsed()
+    if (expired.length === 0) return
+    log.note('condemned-lapsed', { requests: expired })
     if (!isReader()) return
     try {
-      await store.removeCondemned(lapsed)
+      await store.removeCondemned(expired)
     } catch (error) {
-      log.note('condemned-remove-failed', { requests: lapsed, error: String(error) })
+      log.note('condemned-remove-failed', { requests: expired, error: String(error) })
     }
   }
 }
--- a/packages/gateway/src/tasks/engineWork.ts
+++ b/packages/gateway/src/tasks/engineWork.ts
@@ -23,57 +23,57 @@
 
 export interface EngineWorkOptions {
   clock: Clock
-  /** Tells the other boxes what has changed. */
+  /** Sends changed entries to the boxes that receive the work of this one. */
   tell(entries: WorkEntry[]): void
-  /** Whom this box tells. */
+  /** Determines which boxes receive the work of this one. */
   role(): WorkRole
-  /** How many boxes that is told. */
+  /** How many boxes receive it. */
   listeners(): number
 }
 
-/** Changes are gathered for this long before they are told ... */
-const TELL_AFTER: Milliseconds = 15
-/**
- * ... and for longer where many listen, so that a box sends no more messages than this a second: a message costs its
- * sender and its receiver some 0.1 ms together.
- */
-const MOST_TOLD_PER_SECOND = 200
+/** Changes are batched for at least this long. */
+const BATCH_DELAY: Milliseconds = 15
+/** The batch delay grows with the number of recipients to stay below this rate. */
+const MAX_MESSAGES_PER_SECOND = 200
 const SECOND: Milliseconds = 1_000
 
-/** Weight of the newest answer in what is known of an engine's slowness. */
+/** Weight of a new sample in the moving average of an engine's slowness. */
 const SLOWNESS_WEIGHT = 0.08
-const LEAST_SLOWNESS = 0.5
-const MOST_SLOWNESS = 8
-/** Keeps short answers from saying much. */
+const MIN_SLOWNESS = 0.5
+const MAX_SLOWNESS = 8
+/** Added to both sides of the ratio, so that short durations have little effect on it. */
 const SLOWNESS_SLACK: Milliseconds = 60
 
-/** A prompt that an engine has still to read. */
+/** A prompt sent to an engine, from dispatch until its prefill is done. */
 export interface ReadingPrompt {
   /**
-   * The answer began. Gives how many times longer that took than can be explained, by an engine that keeps nothing of the
-   * prompt: a new version's engines keep nothing yet, and that is no fault of the version.
+   * Records the first event of the answer. Returns the ratio of the time it took to the time
+   * expected with an empty prefix cache, since engines of a new version start with an empty one.
    */
   answered(): number
-  /** The same for an answer that has not begun yet, so far. */
+  /** The same ratio for an answer that has not begun, by the time waited so far. */
   waited(): number
-  /** The exchange ended, however. */
+  /** The exchange ended, with or without an answer. */
   end(): void
 }
 
-/** The prompts that engines have still to read: this box's own and, by what they tell, those of others. */
+/**
+ * Tracks the prefill work queued at each engine: from this box and, as they report it, from others.
+ */
 export class EngineWork {
   readonly #estimates = createWorkEstimates()
-  readonly #unreadWork = createUnreadWork()
+  readonly #pendingPrefill = createUnreadWork()
   readonly #slowness = new Map<string, number>()
-  #isTelling = false
+  #isSendScheduled = false
 
   constructor(private readonly options: EngineWorkOptions) {}
 
-  /** What a request's prompt costs with one of the models of its route. */
+  /** Estimates the prefill work of a request's prompt with one of the models of its route. */
   promptWork(fields: RequestFields, model: string, models: readonly string[]): PromptWork {
     const { promptParts, promptTokens } = fields
     expectModels(this.#estimates, models)
-    // The last part is the request's own or its session's: whoever shares the others finds them in one place.
+    // The last part belongs to the request or its session; requests with the same other parts share
+    // a home upstream, so that these are in its prefix cache.
     const textParts = promptParts.slice(0, -1)
     const sharedParts = fields.session === undefined ? textParts : promptParts
     const sharedTokens = sharedParts.reduce((sum, part) => sum + part.tokens, 0)
@@ -88,31 +88,34 @@
     }
   }
 
-  /** Time that an engine still reads prompts for, at its own pace. */
+  /** Estimated time until an engine has finished its queued prefill work, at its own speed. */
   waiting(upstream: string): Milliseconds {
-    return this.#unread(upstream) * this.slowness(upstream)
+    return this.#pendingWork(upstream) * this.slowness(upstream)
   }
 
-  /** How many times slower than the estimates an engine answers. */
+  /** Ratio of the actual to the estimated time to first event of an engine. */
   slowness(upstream: string): number {
     return this.#slowness.get(upstream) ?? 1
   }
 
-  /** A prompt was sent. `isUsual`: the answer may teach how long prompts take; that of a version on trial may not. */
+  /**
+   * Records that a prompt was sent. `isUsual`: the answer may update the estimates, unlike that of
+   * a version on trial.
+   */
   begin(upstream: string, work: PromptWork, tokens: number, isUsual: boolean): ReadingPrompt {
-    const unread = this.#unread(upstream)
-    const expected = unread + work.whole
-    const explained = unread + unkeptWorkOf(this.#estimates, work.model, tokens)
+    const pending = this.#pendingWork(upstream)
+    const expected = pending + work.whole
+    const expectedUncached = pending + unkeptWorkOf(this.#estimates, work.model, tokens)
     const startedAt = this.options.clock.now()
     this.#add(upstream, work.whole)
-    let isOver = false
+    let hasEnded = false
     const end = () => {
-      if (isOver) return
-      isOver = true
+      if (hasEnded) return
+      hasEnded = true
       this.#add(upstream, -work.whole)
     }
     const sinceStart = () => this.options.clock.now() - startedAt
-    const waited = () => timesLonger(sinceStart(), Math.max(expected, explained))
+    const waited = () => slowdownRatio(sinceStart(), Math.max(expected, expectedUncached))
     return {
       end,
       waited,
@@ -120,76 +123,76 @@
         const took = sinceStart()
         const { sharedTokens } = work
         if (isUsual) noteFirstEvent(this.#estimates, work.model, { tokens, sharedTokens }, took)
-        this.#learnSlowness(upstream, timesLonger(took, expected))
+        this.#updateSlowness(upstream, slowdownRatio(took, expected))
         end()
         return waited()
       },
     }
   }
 
-  #unread(upstream: string): Milliseconds {
-    return unreadAt(this.#unreadWork, upstream, this.options.clock.now())
+  #pendingWork(upstream: string): Milliseconds {
+    return unreadAt(this.#pendingPrefill, upstream, this.options.clock.now())
   }
 
-  #learnSlowness(upstream: string, sample: number): void {
-    const bounded = Math.min(MOST_SLOWNESS, Math.max(LEAST_SLOWNESS, sample))
-    const known = this.slowness(upstream)
-    this.#slowness.set(upstream, known + SLOWNESS_WEIGHT * (bounded - known))
+  #updateSlowness(upstream: string, sample: number): void {
+    const bounded = Math.min(MAX_SLOWNESS, Math.max(MIN_SLOWNESS, sample))
+    const average = this.slowness(upstream)
+    this.#slowness.set(upstream, average + SLOWNESS_WEIGHT * (bounded - average))
   }
 
-  /** Another box tells of its own work. A member hears of it from the relay. */
-  takePeerWork(box: string, entries: readonly WorkEntry[]): void {
+  /** Records work that another box sent. A member ignores it, since the relay's sums include it. */
+  recordPeerWork(box: string, entries: readonly WorkEntry[]): void {
     if (this.options.role() === 'member') return
-    takeBoxWork(this.#unreadWork, box, entries, this.options.clock.now())
-    if (this.options.role() === 'relay') this.#tellSoon()
+    takeBoxWork(this.#pendingPrefill, box, entries, this.options.clock.now())
+    if (this.options.role() === 'relay') this.#scheduleSend()
   }
 
-  /** The relay tells of the work of this data centre. */
-  takeSums(entries: readonly WorkEntry[]): void {
+  /** Records the relay's sums of the work of this data centre. */
+  recordDataCentreWork(entries: readonly WorkEntry[]): void {
     if (this.options.role() !== 'member') return
-    takeWorkSums(this.#unreadWork, entries, this.options.clock.now())
+    takeWorkSums(this.#pendingPrefill, entries, this.options.clock.now())
   }
 
-  /** All that this box tells, for those that may have missed a change. */
+  /** All entries that this box sends, for recipients that may have missed a change. */
   all(): WorkEntry[] {
-    return allWork(this.#unreadWork, this.options.role(), this.options.clock.now())
+    return allWork(this.#pendingPrefill, this.options.role(), this.options.clock.now())
   }
 
-  /** Whom this box tells of its work. */
+  /** Determines which boxes receive the work of this one. */
   get role(): WorkRole {
     return this.options.role()
   }
 
-  /** This box tells others than before. */
+  /** Resets the work known of other boxes, and what they were sent, after a change of role. */
   changeRole(): void {
-    changeWorkRole(this.#unreadWork)
+    changeWorkRole(this.#pendingPrefill)
   }
 
   forget(upstream: string): void {
-    forgetWork(this.#unreadWork, upstream)
+    forgetWork(this.#pendingPrefill, upstream)
     this.#slowness.delete(upstream)
   }
 
   #add(upstream: string, work: Milliseconds): void {
-    addOwnWork(this.#unreadWork, upstream, work)
-    this.#tellSoon()
+    addOwnWork(this.#pendingPrefill, upstream, work)
+    this.#scheduleSend()
   }
 
-  #tellSoon(): void {
-    if (this.#isTelling) return
-    this.#isTelling = true
-    const gathered = (SECOND * this.options.listeners()) / MOST_TOLD_PER_SECOND
-    this.options.clock.after(Math.max(TELL_AFTER, gathered), () => this.#tell())
+  #scheduleSend(): void {
+    if (this.#isSendScheduled) return
+    this.#isSendScheduled = true
+    const delay = (SECOND * this.options.listeners()) / MAX_MESSAGES_PER_SECOND
+    this.options.clock.after(Math.max(BATCH_DELAY, delay), () => this.#sendChanges())
   }
 
-  #tell(): void {
-    this.#isTelling = false
+  #sendChanges(): void {
+    this.#isSendScheduled = false
     const { clock, role, tell } = this.options
-    const entries = changedWork(this.#unreadWork, role(), clock.now())
+    const entries = changedWork(this.#pendingPrefill, role(), clock.now())
     if (entries.length > 0) tell(entries)
   }
 }
 
-function timesLonger(took: Milliseconds, expected: Milliseconds): number {
+function slowdownRatio(took: Milliseconds, expected: Milliseconds): number {
   return (took + SLOWNESS_SLACK) / (expected + SLOWNESS_SLACK)
 }
--- a/packages/gateway/src/tasks/entryTask.ts
+++ b/packages/gateway/src/tasks/entryTask.ts
@@ -7,28 +7,28 @@
   clock: Clock
   log: EventLog
   store: Store
-  /** All boxes start for the first time, so that none has an entry yet. */
+  /** All boxes of the deployment start for the first time, so that none is registered yet. */
   isFirstStart: boolean
-  /** Whether this box clears away the entries of boxes that are gone. */
-  clearsAway(): boolean
-  /** Entries of boxes that nothing was heard of for long. */
+  /** Whether this box is the one that removes the entries of silent boxes. */
+  removesSilentEntries(): boolean
+  /** Names of registered boxes without a report. */
   silentEntries(): string[]
   onEntries(entries: readonly BoxEntry[]): void
 }
 
-/** The first box clears away the entries of boxes that are gone this often ... */
-const CLEAR_EVERY: Milliseconds = 12_000
-/** ... and each looks whether its own entry still stands: it may have been cut off for long. Calls are priced. */
-const LOOK_EVERY: Milliseconds = 60_000
-/** While the box has no entry it tries again after this, and after twice as long each time. */
-const FIRST_PAUSE: Milliseconds = 700
-const LONGEST_PAUSE: Milliseconds = 3_000
+/** How often the first box removes the entries of silent boxes. */
+const REMOVAL_INTERVAL: Milliseconds = 12_000
+/** How often a box checks that others have not removed its entry. Store calls are billed. */
+const CHECK_INTERVAL: Milliseconds = 60_000
+/** Exponential back-off while the box is not registered. */
+const INITIAL_BACKOFF: Milliseconds = 700
+const MAX_BACKOFF: Milliseconds = 3_000
 
-/** Enters the box in the store, so that others find it, and learns of the others. */
+/** Registers the box in the store and reads the entries of the others. */
 export class EntryTask {
   #hasEntry = false
-  #pause = FIRST_PAUSE
-  #lookedAt = -Infinity
+  #delay = INITIAL_BACKOFF
+  #readAt = -Infinity
   #timer: Timer | undefined
   readonly #startedAt: Milliseconds
 
@@ -47,60 +47,60 @@
   async #run(): Promise<void> {
     const { clock, log } = this.options
     try {
-      if (!this.#hasEntry) await this.#enter()
-      else if (this.#isDue()) await this.#look()
-      this.#pause = CLEAR_EVERY
+      if (!this.#hasEntry) await this.#register()
+      else if (this.#isDue()) await this.#readEntries()
+      this.#delay = REMOVAL_INTERVAL
     } catch (error) {
-      this.#pause = this.#hasEntry ? CLEAR_EVERY : Math.min(LONGEST_PAUSE, 2 * this.#pause)
-      log.note('entry-failed', { error: String(error), pause: this.#pause })
+      this.#delay = this.#hasEntry ? REMOVAL_INTERVAL : Math.min(MAX_BACKOFF, 2 * this.#delay)
+      log.note('entry-failed', { error: String(error), pause: this.#delay })
     }
-    this.#timer = clock.after(this.#pause, () => void this.#run())
+    this.#timer = clock.after(this.#delay, () => void this.#run())
   }
 
   #isDue(): boolean {
-    const isOld = this.options.clock.now() - this.#lookedAt >= LOOK_EVERY
-    return isOld || this.options.clearsAway()
+    const isOld = this.options.clock.now() - this.#readAt >= CHECK_INTERVAL
+    return isOld || this.options.removesSilentEntries()
   }
 
   /**
-   * The entry of a box that returns mostly still stands: 390 starts a day in a deployment of 195 boxes then take one call
-   * each in place of two. A box that finds no other looks again once it has written: of two that enter at the same moment,
-   * one at least sees the other.
+   * Reads before it writes, since the entry of a restarted box usually still exists. A box that
+   * finds no other reads again after its write: of two that register concurrently, at least one
+   * sees the other.
    */
-  async #enter(): Promise<void> {
+  async #register(): Promise<void> {
     const { isFirstStart } = this.options
-    if (isFirstStart) await this.#write()
-    const others = await this.#look()
-    if (others === 0 && !isFirstStart) await this.#look()
+    if (isFirstStart) await this.#writeEntry()
+    const others = await this.#readEntries()
+    if (others === 0 && !isFirstStart) await this.#readEntries()
     this.#hasEntry = true
   }
 
-  /** Reads the entries, and writes its own where it is missing. Gives how many there are of others. */
-  async #look(): Promise<number> {
+  /** Reads the entries, and writes its own if it is missing. Returns the number of other boxes. */
+  async #readEntries(): Promise<number> {
     const { clock, store, self, onEntries } = this.options
     const entries = await store.readBoxes()
-    this.#lookedAt = clock.now()
+    this.#readAt = clock.now()
     onEntries(entries)
     const others = entries.filter(({ box }) => box !== self.box)
-    const isEntered = entries.some(({ box, peerAddress }) => isSelf(self, box, peerAddress))
-    if (!isEntered) await this.#write()
-    await this.#clearAway(entries)
+    const isRegistered = entries.some(({ box, peerAddress }) => isSelf(self, box, peerAddress))
+    if (!isRegistered) await this.#writeEntry()
+    await this.#removeSilentEntries(entries)
     return others.length
   }
 
-  async #write(): Promise<void> {
+  async #writeEntry(): Promise<void> {
     const { box, dataCentre, entryAddress, peerAddress } = this.options.self
     await this.options.store.writeBox({ box, dataCentre, entryAddress, peerAddress })
   }
 
-  async #clearAway(entries: readonly BoxEntry[]): Promise<void> {
-    const { clock, store, log, clearsAway, silentEntries } = this.options
-    if (!clearsAway() || clock.now() - this.#startedAt < CLEAR_EVERY) return
+  async #removeSilentEntries(entries: readonly BoxEntry[]): Promise<void> {
+    const { clock, store, log, removesSilentEntries, silentEntries } = this.options
+    if (!removesSilentEntries() || clock.now() - this.#startedAt < REMOVAL_INTERVAL) return
     const silent = new Set(silentEntries())
-    const gone = entries.filter(entry => silent.has(entry.box)).map(entry => entry.box)
-    if (gone.length === 0) return
-    await store.removeBoxes(gone)
-    log.note('entries-removed', { boxes: gone })
+    const removed = entries.filter(entry => silent.has(entry.box)).map(entry => entry.box)
+    if (removed.length === 0) return
+    await store.removeBoxes(removed)
+    log.note('entries-removed', { boxes: removed })
   }
 }
 
--- a/packages/gateway/src/tasks/knownBoxes.ts
+++ b/packages/gateway/src/tasks/knownBoxes.ts
@@ -1,50 +1,52 @@
 import { hashText, type AnswerCount, type Milliseconds } from '@yewkeel/decisions'
 import type { GatewayState, OwnReport } from '../types/gossip.js'
 import type { BoxEntry } from '../types/ports.js'
-import { shortRun, type Hearsay } from './hearsay.js'
+import { shortRunHash, type RelayedReport } from './hearsay.js'
 import type { BoxAnswers } from './versionJudge.js'
 
-/** What was heard of another box. */
+/** The last known state of another box. */
 export interface KnownBox {
   entry: BoxEntry
-  /** Part of the hash of its present run. */
+  /** Truncated hash of its current run. */
   run: number
   state: GatewayState
-  /** Time since its run began when it said so. */
+  /** Age of the run when the report was made. */
   sequence: Milliseconds
-  /** The store does not answer it. */
+  /** It cannot reach the store. */
   isStoreLost: boolean
-  /** Its answers by version, heard from itself alone. */
+  /** Its answer counts by version; only its own gossip carries them. */
   answers: readonly AnswerCount[]
-  heardAt: Milliseconds
+  lastReportAt: Milliseconds
 }
 
-/** A box that was not heard of for this long is not told to callers. Four rounds of gossip. */
+/** Four rounds of gossip. A box silent for this long is no longer advertised to callers. */
 export const SILENT_AFTER: Milliseconds = 1_600
 /**
- * News travel a hop a round, the rest a hop in two, so that what is next heard of a new run comes up to four rounds later than
- * its beginning. Without this, 8 of 60 boxes that had started together seemed silent for half a second.
+ * Added to the report time of a new run. Changes are relayed in every round but full reports in
+ * every other, so the second report of a run can arrive up to four rounds after the first.
  */
-const NEWS_AHEAD: Milliseconds = 1_600
-/** Hearsay is at most this old when it arrives: four hops. */
-const HEARSAY_DELAY: Milliseconds = 3_200
-/** Then it is forgotten. */
-const FORGOTTEN_AFTER: Milliseconds = 30_000
+const NEW_RUN_GRACE: Milliseconds = 1_600
+/** Upper bound on the age of a relayed report on arrival: four hops. */
+const MAX_RELAY_DELAY: Milliseconds = 3_200
+/** A box silent for this long is removed. */
+const EXPIRED_AFTER: Milliseconds = 30_000
 
-/** The other boxes: entered in the store, and heard of. */
+/** Membership view: boxes registered in the store, and the last report of each other box. */
 export class KnownBoxes {
   #entries = new Map<string, BoxEntry>()
   #version = 0
   #hasEntries = false
-  /** Boxes by the hash of their name, as hearsay names them. */
+  /** Box names by their hash, which identifies the box in relayed reports. */
   readonly #byHash = new Map<number, string>()
   readonly #boxes = new Map<string, KnownBox>()
-  /** Boxes of which something else than before was heard, and not told since. */
-  readonly #news = new Set<string>()
+  /** Boxes whose state has changed since it was last relayed. */
+  readonly #changed = new Set<string>()
 
   constructor(private readonly self: string) {}
 
-  /** Rises with every change of the entries, so that what is derived from them can be kept until then. */
+  /**
+   * Increases with every change of the entries; usable as a cache key for values derived from them.
+   */
   get version(): number {
     return this.#version
   }
@@ -57,12 +59,12 @@
     return this.#entries.size
   }
 
-  /** The entries have been read from the store. */
+  /** Whether the entries have been read from the store. */
   get hasEntries(): boolean {
     return this.#hasEntries
   }
 
-  takeEntries(entries: readonly BoxEntry[]): void {
+  replaceEntries(entries: readonly BoxEntry[]): void {
     this.#hasEntries = true
     this.#entries = new Map()
     this.#version++
@@ -78,10 +80,10 @@
   }
 
   live(now: Milliseconds): KnownBox[] {
-    return [...this.#boxes.values()].filter(({ heardAt }) => now - heardAt < SILENT_AFTER)
+    return [...this.#boxes.values()].filter(({ lastReportAt }) => now - lastReportAt < SILENT_AFTER)
   }
 
-  /** Entries of boxes that nothing was heard of for long. */
+  /** Names of registered boxes without a report, other than this one. */
   silentEntries(): string[] {
     return [...this.#entries.keys()].filter(box => box !== this.self && !this.#boxes.has(box))
   }
@@ -93,22 +95,25 @@
     }))
   }
 
-  forgetSilent(now: Milliseconds): void {
-    for (const [box, { heardAt }] of this.#boxes)
-      if (now - heardAt > FORGOTTEN_AFTER) this.#boxes.delete(box)
+  removeExpired(now: Milliseconds): void {
+    for (const [box, { lastReportAt }] of this.#boxes)
+      if (now - lastReportAt > EXPIRED_AFTER) this.#boxes.delete(box)
   }
 
-  /** A box speaks of itself. Gives its state before, if that has changed. */
-  hearBox(entry: BoxEntry, run: number, report: OwnReport, now: Milliseconds): boolean {
+  /** Records a report that a box sent about itself. Returns whether its state changed. */
+  recordOwnReport(entry: BoxEntry, run: number, report: OwnReport, now: Milliseconds): boolean {
     const before = this.#boxes.get(entry.box)
     this.addEntry(entry)
-    this.#keep({ ...report, entry, run: shortRun(run), heardAt: now })
+    this.#record({ ...report, entry, run: shortRunHash(run), lastReportAt: now })
     return before?.state !== report.state
   }
 
-  /** What others say of a box. False if no entry names it. */
-  hearOf(hearsay: Hearsay, now: Milliseconds): boolean {
-    const { box, run, sequence, state, isStoreLost } = hearsay
+  /**
+   * Records a report relayed by another box, unless a newer one is known. Returns false if the box
+   * is not registered here.
+   */
+  recordRelayedReport(relayed: RelayedReport, now: Milliseconds): boolean {
+    const { box, run, sequence, state, isStoreLost } = relayed
     const name = this.#byHash.get(box)
     const entry = name === undefined ? undefined : this.#entries.get(name)
     if (!entry) return box === hashText(this.self)
@@ -117,47 +122,47 @@
     if (known?.run === run && known.sequence >= sequence) return true
     if (known && known.run !== run && !isLaterRun(known, sequence, now)) return true
     const answers = known?.run === run ? known.answers : []
-    const heardAt = known?.run === run ? now : now + NEWS_AHEAD
-    this.#keep({ state, sequence, isStoreLost, answers, entry, run, heardAt })
+    const lastReportAt = known?.run === run ? now : now + NEW_RUN_GRACE
+    this.#record({ state, sequence, isStoreLost, answers, entry, run, lastReportAt })
     return true
   }
 
-  #keep(heard: KnownBox): void {
-    const { box } = heard.entry
+  #record(report: KnownBox): void {
+    const { box } = report.entry
     const before = this.#boxes.get(box)
-    const isNews =
-      before?.run !== heard.run ||
-      before.state !== heard.state ||
-      before.isStoreLost !== heard.isStoreLost
-    if (isNews) this.#news.add(box)
-    this.#boxes.set(box, heard)
+    const isChange =
+      before?.run !== report.run ||
+      before.state !== report.state ||
+      before.isStoreLost !== report.isStoreLost
+    if (isChange) this.#changed.add(box)
+    this.#boxes.set(box, report)
   }
 
-  /** All that is known of others, for those that do not hear them. */
-  hearsay(now: Milliseconds): Hearsay[] {
-    this.#news.clear()
-    return this.live(now).map(toHearsay)
+  /** Reports of all live boxes. Marks all changes as relayed. */
+  takeAllReports(now: Milliseconds): RelayedReport[] {
+    this.#changed.clear()
+    return this.live(now).map(toRelayedReport)
   }
 
-  /** The part of it that is news. */
-  news(now: Milliseconds): Hearsay[] {
-    if (this.#news.size === 0) return []
-    const told = this.live(now).filter(({ entry }) => this.#news.has(entry.box))
-    this.#news.clear()
-    return told.map(toHearsay)
+  /** Reports of live boxes that changed since they were last relayed. Marks them as relayed. */
+  takeChangedReports(now: Milliseconds): RelayedReport[] {
+    if (this.#changed.size === 0) return []
+    const changed = this.live(now).filter(({ entry }) => this.#changed.has(entry.box))
+    this.#changed.clear()
+    return changed.map(toRelayedReport)
   }
 }
 
 /**
- * Whether hearsay is of a run that began after the known one: by its age, or because the known one has fallen silent. Where
- * only silence told them apart, a box that restarted was missing for 0.4 s at others that had heard of its last run.
+ * Whether a relayed report of the given age is about a run that started after the known one: judged
+ * by its start time, or because the known run has fallen silent.
  */
 function isLaterRun(known: KnownBox, age: Milliseconds, now: Milliseconds): boolean {
-  const knownBegin = known.heardAt - known.sequence
-  return now - age > knownBegin + HEARSAY_DELAY || now - known.heardAt > SILENT_AFTER
+  const knownStart = known.lastReportAt - known.sequence
+  return now - age > knownStart + MAX_RELAY_DELAY || now - known.lastReportAt > SILENT_AFTER
 }
 
-function toHearsay({ entry, run, sequence, state, isStoreLost }: KnownBox): Hearsay {
+function toRelayedReport({ entry, run, sequence, state, isStoreLost }: KnownBox): RelayedReport {
   return { box: hashText(entry.box), run, sequence, state, isStoreLost }
 }
 
--- a/packages/gateway/src/tasks/newsBatch.ts
+++ b/packages/gateway/src/tasks/newsBatch.ts
@@ -1,25 +1,25 @@
 import type { Clock, Milliseconds } from '@yewkeel/decisions'
 
-/** Gathers news for a moment, so that what is found out together is told together. */
-export class NewsBatch<T> {
-  #waiting: T[] = []
+/** Collects items and sends them as one batch, `delay` after the first. */
+export class DelayedBatch<T> {
+  #pending: T[] = []
 
   constructor(
     private readonly clock: Clock,
-    private readonly wait: Milliseconds,
-    private readonly tell: (news: T[]) => void,
+    private readonly delay: Milliseconds,
+    private readonly send: (items: T[]) => void,
   ) {}
 
-  add(news: readonly T[]): void {
-    if (news.length === 0) return
-    const isFirst = this.#waiting.length === 0
-    this.#waiting.push(...news)
-    if (isFirst) this.clock.after(this.wait, () => this.#flush())
+  add(items: readonly T[]): void {
+    if (items.length === 0) return
+    const isFirst = this.#pending.length === 0
+    this.#pending.push(...items)
+    if (isFirst) this.clock.after(this.delay, () => this.#flush())
   }
 
   #flush(): void {
-    const news = this.#waiting
-    this.#waiting = []
-    this.tell(news)
+    const items = this.#pending
+    this.#pending = []
+    this.send(items)
   }
 }
--- a/packages/gateway/src/tasks/operatorTask.ts
+++ b/packages/gateway/src/tasks/operatorTask.ts
@@ -9,8 +9,8 @@
 } from '@yewkeel/decisions'
 import type { EventLog, OperatorState } from '../types/ports.js'
 
-/** The fingerprint before the first state: hashes are never negative. */
-const NO_STATE = -1
+/** Fingerprint before the first state; differs from every hash, since these are never negative. */
+const NO_FINGERPRINT = -1
 
 export interface OperatorTaskOptions {
   clock: Clock
@@ -18,9 +18,12 @@
   onChange(state: OperatorState): void
 }
 
-/** Holds the operators' newest state, and the proof of how new it is. It never goes back. */
+/**
+ * Holds the newest operator state and the time at which it was last confirmed. Its revision never
+ * decreases.
+ */
 export class OperatorTask {
-  #state: OperatorState = { revision: 0, fingerprint: NO_STATE, orders: [], evacuated: [] }
+  #state: OperatorState = { revision: 0, fingerprint: NO_FINGERPRINT, orders: [], evacuated: [] }
   #index: RouteIndex | undefined
   readonly #proof: Confirmation = {}
 
@@ -35,16 +38,16 @@
     return this.#index
   }
 
-  /** Age of the proof that the state is the store's newest. */
+  /** Time since the state was last confirmed to be the newest in the store. */
   get age(): Milliseconds {
     return confirmationAge(this.#proof, this.options.clock.now())
   }
 
-  /** Takes a state; an older one is passed over. True when it is as new as the present one. */
+  /** Applies a state. Returns false if it or its configuration is older than the current one. */
   take(state: OperatorState): boolean {
     if (state.revision < this.#state.revision) return false
     if (state.fingerprint === this.#state.fingerprint) {
-      this.#sameAt(state.revision)
+      this.#advanceRevision(state.revision)
       return true
     }
     const current = this.#index?.configuration.revision ?? -1
@@ -61,23 +64,26 @@
         organisations: offered.organisations?.length,
       })
     }
-    this.#noteEvacuations(evacuated, state.evacuated)
+    this.#logEvacuations(evacuated, state.evacuated)
     this.options.onChange(state)
     return true
   }
 
-  /** At `provedAt` the store, at `revision`, said just what this box holds. */
+  /** Confirms that the store, at `revision`, held the current state at `provedAt`. */
   prove(revision: number, provedAt: Milliseconds): void {
-    this.#sameAt(revision)
+    this.#advanceRevision(revision)
     confirm(this.#proof, provedAt)
   }
 
-  /** What is held was still the newest at a later revision. Feeds go on from there, so that their history is not gone. */
-  #sameAt(revision: number): void {
+  /**
+   * Advances the revision of an unchanged state, so that watches do not resume from discarded
+   * history.
+   */
+  #advanceRevision(revision: number): void {
     if (revision > this.#state.revision) this.#state = { ...this.#state, revision }
   }
 
-  #noteEvacuations(before: readonly string[], dataCentres: readonly string[]): void {
+  #logEvacuations(before: readonly string[], dataCentres: readonly string[]): void {
     if (dataCentres.join() !== before.join())
       this.options.log.note('evacuated', { dataCentres, before })
   }
--- a/packages/gateway/src/tasks/pauseWatch.ts
+++ b/packages/gateway/src/tasks/pauseWatch.ts
@@ -1,35 +1,38 @@
 import { every } from '@yewkeel/box'
 import type { Clock, Milliseconds, Timer } from '@yewkeel/decisions'
 
-const LOOK_EVERY: Milliseconds = 100
-/** A busy box is late by some 100 ms. */
-const PAUSED_FROM: Milliseconds = 500
+const CHECK_INTERVAL: Milliseconds = 100
+/** Well above the timer delay of a busy box. */
+const PAUSE_THRESHOLD: Milliseconds = 500
 
 /**
- * Sees that the box itself stood still: frozen, or suspended with its machine. It then finds connections dead that broke long ago, all at once, and
- * cannot say of what.
+ * Detects that the process was paused, for example suspended with its machine. Connections that
+ * broke during the pause fail together afterwards, which says nothing about the upstreams.
  */
 export class PauseWatch {
-  #lookedAt: Milliseconds
-  #wokeAt: Milliseconds = -Infinity
+  #checkedAt: Milliseconds
+  #resumedAt: Milliseconds = -Infinity
 
   constructor(private readonly clock: Clock) {
-    this.#lookedAt = clock.now()
+    this.#checkedAt = clock.now()
   }
 
   start(): Timer {
-    return every(this.clock, LOOK_EVERY, () => this.#look())
+    return every(this.clock, CHECK_INTERVAL, () => this.#check())
   }
 
-  /** Whether the box stood still at some time after `since`. Also right before the first timer after the wake. */
+  /**
+   * Whether the process was paused after `since`. Correct even before the first timer after the
+   * pause.
+   */
   hasPausedSince(since: Milliseconds): boolean {
-    this.#look()
-    return this.#wokeAt > since
+    this.#check()
+    return this.#resumedAt > since
   }
 
-  #look(): void {
+  #check(): void {
     const now = this.clock.now()
-    if (now - this.#lookedAt > PAUSED_FROM) this.#wokeAt = now
-    this.#lookedAt = now
+    if (now - this.#checkedAt > PAUSE_THRESHOLD) this.#resumedAt = now
+    this.#checkedAt = now
   }
 }
--- a/packages/gateway/src/types/gossip.ts
+++ b/packages/gateway/src/types/gossip.ts
@@ -27,7 +27,7 @@
 }
 
 /** A proof that something read from the store was the newest there. The store changes all the time, what it says seldom. */
-export interface ProofAge {
+export interface FreshnessProof {
   /** Of the store as a whole. */
   revision: number
   /** Equal where the content says the same. */
@@ -45,8 +45,8 @@
   own: OwnReport
   /** Packed hearsay. News alone in every other round; empty where every box is linked to every other. */
   others: Uint8Array
-  operators?: ProofAge
-  upstreams?: ProofAge
+  operators?: FreshnessProof
+  upstreams?: FreshnessProof
   rollouts: RolloutStatus[]
   /** Versions that boxes hold to be bad. */
   verdicts: Verdict[]
--- a/packages/gateway/test/hearsay.test.ts
+++ b/packages/gateway/test/hearsay.test.ts
@@ -1,7 +1,11 @@
 import { expect } from 'chai'
-import { packHearsay, unpackHearsay, type Hearsay } from '../src/tasks/hearsay.js'
+import {
+  packRelayedReports,
+  unpackRelayedReports,
+  type RelayedReport,
+} from '../src/tasks/hearsay.js'
 
-const entry: Hearsay = {
+const entry: RelayedReport = {
   box: 0xfedcba98,
   run: 0xbeef,
   sequence: 86_400_000,
@@ -12,14 +16,18 @@
 describe('hearsay', () => {
   it('is read as it was packed', () => {
     const entries = [entry, { ...entry, box: 1, state: 'starting', isStoreLost: false }]
-    expect(unpackHearsay(packHearsay(entries as Hearsay[]))).to.deep.equal(entries)
+    expect(unpackRelayedReports(packRelayedReports(entries as RelayedReport[]))).to.deep.equal(
+      entries,
+    )
   })
 
   it('takes 11 bytes a box', () => {
-    expect(packHearsay([entry, entry])).to.have.length(22)
+    expect(packRelayedReports([entry, entry])).to.have.length(22)
   })
 
   it('is passed over where bytes are missing', () => {
-    expect(unpackHearsay(packHearsay([entry, entry]).subarray(0, 15))).to.deep.equal([entry])
+    expect(unpackRelayedReports(packRelayedReports([entry, entry]).subarray(0, 15))).to.deep.equal([
+      entry,
+    ])
   })
 })
