--- a/packages/gateway/src/createGateway.ts
+++ b/packages/gateway/src/createGateway.ts
@@ -49,15 +49,15 @@
   transport: PeerTransport<GatewayMessage>
   /**
    * Opens the connections to an upstream.
-   * @default connections over TCP
+   * @default opens TCP connections
    */
   openChannels?: OpenChannels
   /**
-   * Whether an address takes connections.
-   * @default tries one over TCP
+   * Whether an address accepts connections.
+   * @default attempts a TCP connection
    */
   probe?(address: string): Promise<boolean>
-  /** The operators' limits on callers have changed. */
+  /** The operator state has changed, which holds the limits on callers. */
   onConfiguration(state: OperatorState): void
 }
 
@@ -66,39 +66,39 @@
   services: GatewayServices
   start(): void
   handle(request: CallerRequest, answer: CallerAnswer): void
-  /** Addresses that callers may use now. */
+  /** Entry addresses of serving boxes, those in the given data centre first. */
   addresses(dataCentre: string | undefined): string[]
   isReady(): boolean
-  /** Takes limits that have changed from now on. Name, data centre and addresses stay until the next start. */
+  /** Applies new limits. Name, data centre and addresses take effect only at a restart. */
   reload(limits: GatewayLimits): void
-  /** The box is told of as leaving and is ready no more; it still serves. */
+  /** Starts draining: the box announces that it leaves and is no longer ready, but still serves. */
   beginToLeave(): void
   stop(): Promise<void>
 }
 
-/** A round of gossip; the directory and the proofs of freshness allow four rounds without news. */
+/** Liveness and freshness checks tolerate four lost rounds. */
 const GOSSIP_INTERVAL: Milliseconds = 400
 const ROLLOUT_INTERVAL: Milliseconds = 100
-/** News that come together are told together. */
+/** Announcements within this time are sent together. */
 const ANNOUNCE_DELAY: Milliseconds = 5
-/** Bad answers of a version on trial are told this often at the most, between the rounds. */
+/** Minimum interval between extra rounds of gossip for bad answers of a version on trial. */
 const BAD_ANSWER_ANNOUNCE_INTERVAL: Milliseconds = 150
-/** A box that starts has heard of others by then, if there are any: links open within a round of gossip. */
+/** A starting box has received gossip by then if there are others. */
 const DISCOVERY_PERIOD: Milliseconds = 1_200
-/** Boxes that read the store for all others. Two, so that the loss of one leaves no gap. */
+/** Boxes that read the store for all others; two, for redundancy. */
 const STORE_READER_COUNT = 2
-/** Part of an upstream's connections that all boxes together use. */
+/** Share of an upstream's connection limit that all boxes together use. */
 const CONNECTION_SHARE = 0.85
 const MIN_CONNECTIONS = 3
 const MAX_ADDRESSES = 64
 
-/** Builds a gateway from its settings, a clock, a source of chance and what speaks to the outside. */
+/** Creates a gateway from its settings, clock, source of randomness and ports to the outside. */
 export function createGateway(options: GatewayOptions): Gateway {
   const { settings, identity, clock, random, log, metrics, dialect, store, transport } = options
   let state: GatewayState = 'starting'
-  const rounds: Timer[] = []
+  const timers: Timer[] = []
   let isAnnouncing = false
-  let badAnswerToldAt = -Infinity
+  let badAnswerAnnouncedAt = -Infinity
   let leavingSince: Milliseconds | undefined
   const pauses = new PauseWatch(clock)
 
@@ -294,14 +294,14 @@
     return { version, entries: listed, ...(Number.isFinite(age) && { age }) }
   }
 
-  /** The box serves as soon as it knows the configuration and the upstreams. */
+  /** Switches to serving once the configuration and the list of upstreams are known. */
   function beginToServe(): void {
     if (state !== 'starting' || !operators.index || upstreams.list.version === 0) return
     state = 'serving'
     log.note('serving', { after: Math.round(clock.now() - startedAt) })
   }
 
-  /** Tells the neighbours of news now; those that lack it ask for it. */
+  /** Sends a round of gossip soon; neighbours request the content that they lack. */
   function announce(): void {
     beginToServe()
     if (isAnnouncing) return
@@ -312,27 +312,31 @@
     })
   }
 
-  /** A version that turns bad late is judged within a second or so, of which waiting for the next round would take half. */
+  /**
+   * Sends bad answers of a version on trial without waiting for the next round, to judge it sooner.
+   */
   function announceBadAnswer(): void {
-    if (clock.now() - badAnswerToldAt < BAD_ANSWER_ANNOUNCE_INTERVAL) return
-    badAnswerToldAt = clock.now()
+    if (clock.now() - badAnswerAnnouncedAt < BAD_ANSWER_ANNOUNCE_INTERVAL) return
+    badAnswerAnnouncedAt = clock.now()
     announce()
   }
 
   /**
-   * A box that has just started has heard nobody yet, and would read for all: with 195 boxes started at once that was a call
-   * of each.
+   * Before the first gossip arrives a starting box would rank first and read the store for all, as
+   * would every other box of a simultaneous start.
    */
-  function isWaitingForOthers(): boolean {
+  function isDiscovering(): boolean {
     return peers.live().length === 0 && clock.now() - startedAt < DISCOVERY_PERIOD
   }
 
-  /** Whether this box reads the store for all others. */
+  /** Whether this box is one of those that read the store for all others. */
   function isReader(): boolean {
-    return !isWaitingForOthers() && rank() < STORE_READER_COUNT
+    return !isDiscovering() && rank() < STORE_READER_COUNT
   }
 
-  /** This box's place by name among the boxes that serve. Those that have lost the store come after those that have not. */
+  /**
+   * Position of this box among the serving ones: those that reach the store first, then by name.
+   */
   function rank(): number {
     const serving = peers.live().filter(peer => peer.state === 'serving')
     return serving.filter(
@@ -342,7 +346,7 @@
     ).length
   }
 
-  /** Boxes that share what all may use together: those entered in the store count before they are heard of. */
+  /** Number of boxes that share limits; registered boxes count before their first report. */
   function knownBoxCount(): number {
     return Math.max(services.boxCount(), peers.registeredBoxCount)
   }
@@ -398,7 +402,7 @@
       services.stalls.start()
       entries.start()
       condemned.start()
-      rounds.push(
+      timers.push(
         services.pauses.start(),
         every(clock, GOSSIP_INTERVAL, () => peers.tick()),
         every(clock, ROLLOUT_INTERVAL, () => rollouts.tick()),
@@ -414,9 +418,9 @@
         .filter(peer => peer.state === 'serving')
         .map(peer => peer.entry)
       const own = state === 'serving' ? [{ ...identity }] : []
-      const known = [...own, ...others]
-      const near = known.filter(box => box.dataCentre === dataCentre)
-      const far = known.filter(box => box.dataCentre !== dataCentre)
+      const serving = [...own, ...others]
+      const near = serving.filter(box => box.dataCentre === dataCentre)
+      const far = serving.filter(box => box.dataCentre !== dataCentre)
       return [...near, ...far].slice(0, MAX_ADDRESSES).map(box => box.entryAddress)
     },
     isReady: () => state === 'serving',
@@ -433,7 +437,7 @@
     },
     async stop() {
       entries.stop()
-      for (const round of rounds) round.cancel()
+      for (const timer of timers) timer.cancel()
       reader.stop()
       condemned.stop()
       await transport.close()
--- a/packages/gateway/src/types/gossip.ts
+++ b/packages/gateway/src/types/gossip.ts
@@ -10,91 +10,97 @@
 import type { BoxEntry, OperatorState } from './ports.js'
 import type { SuspectNews } from '@yewkeel/box'
 
-/** The order is part of the protocol between boxes. */
+/** Gossip encodes a state by its index, so that the order is part of the protocol between boxes. */
 export const GATEWAY_STATES = ['starting', 'serving', 'leaving'] as const
 
 export type GatewayState = (typeof GATEWAY_STATES)[number]
 
-/** What a box says of itself. */
+/** The report of a box about itself. */
 export interface OwnReport {
   state: GatewayState
-  /** Time since the run began; no two reports have the same. */
+  /** Age of the run, and strictly increasing from report to report. */
   sequence: Milliseconds
-  /** The store does not answer this box. */
+  /** The box cannot reach the store. */
   isStoreLost: boolean
-  /** Answers by version since the box began. Only while a roll-out is under way. */
+  /** Answer counts by version since the run began; empty unless a rollout is in progress. */
   answers: AnswerCount[]
 }
 
-/** A proof that something read from the store was the newest there. The store changes all the time, what it says seldom. */
+/**
+ * Confirms that content read from the store was the newest there. The revision changes with every
+ * write to the store, the fingerprint only with the content.
+ */
 export interface FreshnessProof {
-  /** Of the store as a whole. */
+  /** Revision of the store as a whole. */
   revision: number
-  /** Equal where the content says the same. */
+  /** Equal for equal content. */
   fingerprint: number
+  /** Time since the confirmation. */
   age: Milliseconds
 }
 
-/** What a box tells its neighbours a few times a second. */
+/** The message that a box sends its neighbours in each round of gossip. */
 export interface Gossip {
   type: 'gossip'
-  /** The sender's clock; comes back as `echo`. */
+  /** Send time on the sender's clock; returned in `echo`. */
   stamp: Milliseconds
-  /** The receiver's own newest stamp, and how long the sender has held it. */
+  /** The newest stamp that the sender got from the receiver, and the time since then. */
   echo?: { stamp: Milliseconds; heldFor: Milliseconds }
   own: OwnReport
-  /** Packed hearsay. News alone in every other round; empty where every box is linked to every other. */
+  /** Packed reports about other boxes. Every other round carries changes only; empty in a mesh. */
   others: Uint8Array
   operators?: FreshnessProof
   upstreams?: FreshnessProof
   rollouts: RolloutStatus[]
-  /** Versions that boxes hold to be bad. */
+  /** Versions that boxes have judged to be bad. */
   verdicts: Verdict[]
-  /** Prompts that engines have still to read for the sender. Left empty where a relay is told of them. */
+  /** Prefill work queued at engines for the sender; empty unless its work role is `direct`. */
   work: WorkEntry[]
-  /** The store's clock when the message was written. */
+  /** The store's clock at the time of sending. */
   storeNow?: Milliseconds
 }
 
-/** What an upstream said of itself in an answer to some box. */
+/** A rate limit or drain notice that an upstream sent in a response to any box. */
 export interface Statement {
-  /** Of the upstream: what is told of it ends with it. */
+  /** Run of the upstream. The statement expires with it. */
   run: string
   limit?: SharedLimit
-  /** It leaves, and never takes that back. */
+  /** The upstream is draining; irrevocable for the run. */
   isLeaving?: true
 }
 
 /** Messages between gateways. */
 export type GatewayMessage =
   | Gossip
-  /** Prompts that engines have still to read for the sender. */
+  /** Prefill work queued at engines for the sender. */
   | { type: 'work'; entries: WorkEntry[] }
-  /** The same for all boxes of the sender's data centre. */
+  /** Prefill work summed over all boxes of the sender's data centre. */
   | { type: 'work-sums'; entries: WorkEntry[] }
   | { type: 'boxes-wanted' }
   | { type: 'boxes'; entries: BoxEntry[] }
   | { type: 'operators-wanted' }
   | { type: 'operators'; state: OperatorState }
   | { type: 'upstreams-wanted'; stamp: Milliseconds }
-  /** Other processes answer at the addresses of these runs of upstreams. */
+  /** Runs of upstreams that have ended: other processes now respond at their addresses. */
   | { type: 'upstreams-gone'; runs: string[] }
   | UpstreamsMessage
-  /** What upstreams say of themselves: asked for by a box that links, and told at once when it is news. */
+  /** Statements of upstreams: sent on request after a connection, and immediately when new. */
   | { type: 'statements-wanted' }
   | { type: 'statements'; entries: Statement[] }
-  /** What the receiver knows of requests under which upstreams ended. */
+  /** Requests all that the receiver knows of crash suspects. */
   | { type: 'suspects-wanted' }
-  /** `isComplete`: all that was condemned before is among it. Only in the answer to the question. */
+  /**
+   * `isComplete`: contains all requests quarantined so far. Only in replies to `suspects-wanted`.
+   */
   | { type: 'suspects'; entries: SuspectNews[]; isComplete?: boolean }
 
-/** The list of upstreams, asked for by `upstreams-wanted`. */
+/** The list of upstreams; the reply to `upstreams-wanted`. */
 export interface UpstreamsMessage {
   type: 'upstreams'
   version: number
   entries: ListedUpstream[]
-  /** That of the question, on the clock of who asked. */
+  /** Stamp of the request, on the requester's clock. */
   stamp: Milliseconds
-  /** Of the proof that the list was the store's newest; left out where there is none. */
+  /** Time since the list was confirmed to be the newest in the store; absent if it never was. */
   age?: Milliseconds
 }
--- a/packages/gateway/src/types/ports.ts
+++ b/packages/gateway/src/types/ports.ts
@@ -9,53 +9,57 @@
 
 export type { CondemnedEntry }
 
-/** What the operators wrote. */
+/** Everything that operators have written to the store. */
 export interface OperatorState {
   /**
-   * Of the store as a whole when it was read. The newest of the rows would not do: it falls when the operators take a row back,
-   * and a state that seems older than the one that is held is passed over.
+   * Revision of the store as a whole at the read. The highest row revision would decrease when a
+   * row is deleted, and the state would be ignored as outdated.
    */
   revision: number
-  /** Equal for states that say the same. */
+  /** Equal for states with equal content. */
   fingerprint: number
   configuration?: Configuration
   orders: readonly RolloutOrder[]
-  /** Data centres to whose upstreams nothing more may be sent. */
+  /** Data centres whose upstreams must not receive requests. */
   evacuated: readonly string[]
 }
 
-/** An answer of the store, and the store's clock when it gave it. */
+/** The result of a read, and the store's clock at the time. */
 export interface StoreRead<T> {
   value: T
-  /** Of the store as a whole, at the read. */
+  /** Revision of the store as a whole at the read. */
   version: number
   storeNow: Milliseconds
 }
 
-/** A box as it enters itself in the store, so that others find it. */
+/** The entry by which a box registers itself in the store. */
 export interface BoxEntry {
   box: string
   dataCentre: string
-  /** Where callers connect, `host:port`. */
+  /** Address for callers, `host:port`. */
   entryAddress: string
-  /** Where boxes connect, `host:port`. */
+  /** Address for other boxes, `host:port`. */
   peerAddress: string
 }
 
-/** The change was refused because the row had changed, or nobody knows whether it took effect. */
+/** `conflict`: the row had changed. `unknown`: the write may or may not have taken effect. */
 export type WriteOutcome = 'written' | 'conflict' | 'unknown'
 
-/** The store in which everything lies that must last. Calls reject with an error when there is no answer. */
+/**
+ * Persistent storage shared by all boxes. Calls reject with an error if the store does not respond.
+ */
 export interface Store {
   readOperatorState(): Promise<StoreRead<OperatorState>>
   /**
-   * Resolves once the operators have written or taken back something since `revision`, or after `wait`. True if they have; else
-   * the answer's version says up to when they have not.
+   * Waits up to `wait` for a change of the operator state after `revision`. Resolves to true on a
+   * change; otherwise the state is unchanged up to the `version` of the result.
    */
   awaitOperatorState(revision: number, wait: Milliseconds): Promise<StoreRead<boolean>>
   readUpstreams(): Promise<StoreRead<readonly ListedUpstream[]>>
   readRollouts(): Promise<StoreRead<readonly RolloutStatus[]>>
-  /** Writes a status if that of the service is still at `expectedRevision`; 0 for none yet. */
+  /**
+   * Compare-and-swap: writes if the service's status is at `expectedRevision`, 0 if there is none.
+   */
   writeRollout(
     status: Omit<RolloutStatus, 'revision'>,
     expectedRevision: number,
@@ -65,118 +69,133 @@
   removeBoxes(boxes: readonly string[]): Promise<void>
   readCondemned(): Promise<readonly CondemnedEntry[]>
   writeCondemned(entry: CondemnedEntry): Promise<void>
-  /** Takes requests by their digests from the condemned ones. */
+  /** Removes quarantined requests by their digests. */
   removeCondemned(requests: readonly string[]): Promise<void>
 }
 
-/** A part of a prompt. Requests that begin with the same parts can share what an engine keeps of them. */
+/** A part of a prompt. Requests with the same leading parts can share an engine's prefix cache. */
 export interface PromptPart {
   id: string
   tokens: number
 }
 
-/** What the headers of a caller's request say. */
+/** Fields parsed from the headers of a caller's request. */
 export interface RequestFields {
-  /** The attempt, named by the caller. */
+  /** Id of the attempt, set by the caller. */
   id: string
   timeLeft?: Milliseconds
   key?: string
   session?: string
-  /** As the caller names it. Undefined or open where the route lists models. */
+  /** The model that the caller asks for; may be undefined or open if the route lists models. */
   model?: string
   /** 0 when unknown. */
   promptTokens: number
-  /** Parts of the prompt, in order; the last is the request's own or its session's. */
+  /** Parts of the prompt, in order; the last belongs to the request or its session. */
   promptParts: readonly PromptPart[]
-  /** The caller has the stream up to this event. */
+  /** Id of the last event that the caller has received; the stream resumes after it. */
   lastEventId?: string
 }
 
-/** What a request to an upstream carries beside what the caller sent. */
+/** Fields that the box sets on a request to an upstream, in addition to the caller's. */
 export interface OutgoingFields {
   timeLeft: Milliseconds
-  /** The run of an upstream that alone may take the request. */
+  /** The only run of an upstream that may process the request. */
   upstreamId: string
   organisation?: string
   model?: string
   lastEventId?: string
-  /** `host:port` of an upstream from which this one copies what it keeps of the prompt, before it reads the rest. */
+  /** `host:port` of an upstream from which this one copies the prompt's KV cache before prefill. */
   copyFrom?: string
   /** 0 to 9; 0 is the most urgent. */
   urgency?: number
 }
 
-/** What the head of an upstream's answer says. */
+/** Fields parsed from the headers of an upstream's response. */
 export interface AnswerFields {
-  /** The attempt that it answers. */
+  /** Id of the attempt that it belongs to. */
   id?: string
-  /** Proves that an upstream made the answer. */
+  /** It carries the proof that an upstream produced the response. */
   isSigned: boolean
-  /** The upstream says that it did not run the request. */
+  /** The upstream states that it did not run the request. */
   isNotRun: boolean
-  /** The model's own opinion of its answer, 0 to 100. */
+  /** The model's confidence in its answer, 0 to 100. */
   confidence?: number
   /** Requests running and waiting at the upstream. */
   load?: number
-  /** Its length is told, so that its end can be seen. Otherwise it ends with the connection, whole or not. */
+  /**
+   * The message framing marks the end of the body. Otherwise the body ends when the connection
+   * closes, and truncation goes undetected.
+   */
   isFramed: boolean
-  /** The bytes are not those that the upstream's program made. */
+  /**
+   * A content encoding was applied, so that the bytes differ from those that the upstream produced.
+   */
   isEncoded: boolean
-  /** Seconds after which asking again may help. */
+  /** Seconds after which a retry may succeed. */
   retryAfter?: number
-  /** Requests a second that the upstream takes from all boxes together, for as long as its answers say so. */
+  /**
+   * Requests per second that the upstream accepts from all boxes together, while responses state
+   * it.
+   */
   limit?: number
-  /** The upstream says that it leaves. */
+  /** The upstream announces that it is draining. */
   isLeaving?: boolean
-  /** What the upstream said of itself and nobody can read, `name: text`. */
+  /** Malformed headers of the upstream, `name: text`. */
   unreadable?: readonly string[]
-  /** The run of an upstream that gave the answer, where it names itself. */
+  /** The run that produced the response, if it identifies itself. */
   answeredBy?: string
 }
 
-/** Names and values of headers, one after the other, as they stood on the wire. */
+/** Alternating header names and values, as received. */
 export type RawHeaders = readonly string[]
 
-/** How requests and answers are written on the wire. */
+/** Reads and writes the headers of requests and responses. */
 export interface Dialect {
   readRequest(headers: RawHeaders): RequestFields
-  /** The caller's headers without those of one connection and those that are ours to set, and with ours. */
+  /**
+   * Returns the caller's headers without hop-by-hop ones, and with those that the box sets
+   * replaced.
+   */
   writeRequest(headers: RawHeaders, fields: OutgoingFields): string[]
   readAnswer(headers: RawHeaders): AnswerFields
-  /** Headers of an upstream's answer that are passed on. */
+  /** Returns the headers of an upstream's response that are forwarded to the caller. */
   writeAnswer(headers: RawHeaders): string[]
-  /** Headers of an answer of our own. */
+  /** Returns the headers of a response that the box produces itself. */
   writeRefusal(id: string, retryAfter: Milliseconds | undefined): string[]
 }
 
-/** A caller's request, read whole. */
+/** A caller's request with its complete body. */
 export interface CallerRequest {
   method: string
   host: string
-  /** Path and query as they came. */
+  /** Path and query as received. */
   target: string
   headers: RawHeaders
   body: Buffer
   receivedAt: Milliseconds
 }
 
-/** Where the answer to a caller goes. */
+/** Writes the response to a caller. */
 export interface CallerAnswer {
-  /** `isFramed`: its end will be told by its length. Otherwise the connection ends with it. */
+  /**
+   * `isFramed`: the framing marks the end of the body. Otherwise the connection closes at its end.
+   */
   start(status: number, headers: string[], isFramed: boolean): void
   write(chunk: Buffer): void
   end(chunk?: Buffer | string): void
-  /** Closes the connection, so that the answer does not look complete. */
+  /** Closes the connection, so that the response is seen as incomplete. */
   abort(): void
-  /** Calls back once if the caller leaves before the end. */
+  /** Calls back once if the caller disconnects before the end. */
   onGone(callback: () => void): void
 }
 
-/** Structured logs. Bounded: under load lines of requests that went well are left out and counted. */
+/**
+ * Structured log of bounded rate: under load, lines of successful requests are dropped and counted.
+ */
 export interface EventLog {
-  /** A belief has changed, or something failed. */
+  /** Logs a change of state or a failure. */
   note(event: string, fields: object): void
-  /** A request came to its end. */
+  /** Logs the end of a request. */
   request(fields: object, isFailure: boolean): void
 }
 
@@ -184,7 +203,7 @@
 export interface GatewayMetrics {
   count(name: CounterName, label: string): void
   observe(route: string, outcome: string, duration: Milliseconds): void
-  /** Reads a level by its labels whenever the figures are asked for. */
+  /** Registers a gauge: `read` returns its values by label at each scrape. */
   watch(name: GaugeName, read: () => Partial<Record<string, number>>): void
 }
 
--- a/packages/gateway/src/types/services.ts
+++ b/packages/gateway/src/types/services.ts
@@ -12,7 +12,7 @@
 import type { Dialect, EventLog, GatewayMetrics } from './ports.js'
 import type { GatewaySettings } from './settings.js'
 
-/** What requests are handled with. */
+/** The services that request handling depends on. */
 export interface GatewayServices {
   settings: GatewaySettings
   clock: Clock
@@ -26,21 +26,23 @@
   rollouts: RolloutTask
   work: EngineWork
   retries: RetryShares
-  /** How much more confident larger models are, as learned from requests that several answered. */
+  /**
+   * Estimated gain in confidence from model to model, from requests that several models answered.
+   */
   gains: ConfidenceGains
   stalls: StallWatch
   reachability: ReachabilityWatch
-  /** What is known of requests under which upstreams ended. */
+  /** Requests that were in flight when an upstream crashed. */
   suspects: CrashSuspects
   pauses: PauseWatch
   statements: StatementTask
-  /** Boxes that are heard of, and this one. */
+  /** Number of live boxes, including this one. */
   boxCount(): number
   /**
-   * Boxes that share the budgets. Infinite until the entries were read: seven boxes that started while the store was out each
-   * took the whole fixed part of a budget for their own, 315 retries of 50 (played on a moved clock).
+   * Number of boxes that share the budgets. Infinite until the entries have been read, so that
+   * boxes that start during a store outage do not each take a whole budget.
    */
   sharingBoxes(): number
-  /** Connections that one upstream of a service takes from this box. */
+  /** Limit on connections from this box to one upstream of a service. */
   channelLimit(service: string): number
 }
--- a/packages/gateway/src/types/settings.ts
+++ b/packages/gateway/src/types/settings.ts
@@ -1,29 +1,31 @@
 import type { ExposureLimit, Milliseconds, RetryShareLimits } from '@yewkeel/decisions'
 
-/** Limits that may change while a box runs. */
+/** Limits that can be reloaded at run time. */
 export interface GatewayLimits {
-  /** After this a key that was taken away may not be honoured; undefined if nobody minds. */
+  /** Maximum time for which a revoked key may still be accepted; undefined for no limit. */
   keyRevocation?: Milliseconds | undefined
-  /** The operators' changes and leaving upstreams must be known within this. */
+  /** Maximum time until all boxes know of operator changes and draining upstreams. */
   newsWithin: Milliseconds
-  /** How long callers keep the addresses that they are told. */
+  /** How long callers cache the addresses of boxes. */
   addressLifetime: Milliseconds
-  /** A planned stop ends within this. */
+  /** Maximum duration of a graceful shutdown. */
   stopWithin: Milliseconds
   retries: RetryShareLimits
-  /** A cold upstream may get this many times what it bears in one second, and so many requests more. */
+  /**
+   * Requests that a cold upstream may get in one second: `times` its cold-start rate, plus `slack`.
+   */
   coldOverage: { times: number; slack: number }
-  /** The part of a service's requests that a bad version may get, 0 to 1. */
+  /** Maximum share of a service's requests that a bad version may get, 0 to 1. */
   exposureLimit: ExposureLimit
-  /** Answers of which the model is less sure than this are doubtful, 0 to 100. */
+  /** Answers with a lower model confidence count as doubtful, 0 to 100. */
   confidenceThreshold: number
 }
 
-/** Settings of a gateway. Every figure comes from outside, so that another deployment needs no new build. */
+/** Settings of a gateway. All values that differ between deployments are read at run time. */
 export interface GatewaySettings extends GatewayLimits {
   box: string
   dataCentre: string
-  /** `host:port` for each thing that the box serves. */
+  /** `host:port` of each server of the box. */
   listen: {
     entry: string
     readiness: string
--- a/packages/gateway/src/types/upstream.ts
+++ b/packages/gateway/src/types/upstream.ts
@@ -6,36 +6,36 @@
 } from '@yewkeel/decisions'
 import type { Channels } from '../node/upstreamChannels.js'
 
-/** An upstream that requests may be sent to. */
+/** An upstream that requests can be sent to. */
 export interface Upstream extends UpstreamCandidate {
-  /** Names the run that this is of. Asked for with each candidate of each choice. */
+  /** Id of the run, precomputed since selection reads it for every candidate. */
   run: string
   channels: Channels
   health: ExchangeHealth
-  /** This box's own exchanges under way. */
+  /** Exchanges of this box in flight. */
   inFlight: number
-  /** What the upstream last told of its load, and how much of that was ours. */
+  /** The load that the upstream last reported, and this box's exchanges in flight at the time. */
   told?: { load: number; own: number; at: Milliseconds }
-  /** Until then it counts as cold. */
+  /** It counts as cold until then. */
   coldUntil: Milliseconds
-  /** What its run has said of itself. */
+  /** Rate limit, drain and back-off state of its run. */
   said: Said
-  /** When this box last chose it for requests, the newest at the end. */
+  /** Times of recent requests of this box to it, newest last. */
   sentAt: Milliseconds[]
 }
 
-/** What one run of an upstream has said of itself, in answers to this box or to others. */
+/** What one run of an upstream has stated in its responses to this box or to others. */
 export interface Said {
-  /** Once it has named a limit. */
+  /** Set once it has stated a rate limit. */
   limit?: StatedLimit
-  /** It leaves, whatever its entry says: where the store is out the entry can't change. */
+  /** It is draining, whatever its entry says: the entry cannot change during a store outage. */
   isLeaving: boolean
-  /** Until then it wants nothing from this box. */
+  /** End of the back-off that it requested from this box with `Retry-After`. */
   restUntil: Milliseconds
-  /** The limit that the log told of last. */
+  /** The limit that was last logged. */
   loggedLimit?: number
-  /** Requests that this box has sent there since the last line about it. */
+  /** Requests sent by this box since the last log line about it. */
   sent: number
-  /** One line for each run tells what nobody can read. */
+  /** Malformed headers of the run have been logged. */
   hasUnreadable: boolean
 }
