--- a/packages/gateway/src/types/settings.ts
+++ b/packages/gateway/src/types/settings.ts
@@ -11,9 +11,7 @@
   /** Maximum duration of a graceful shutdown. */
   stopWithin: Milliseconds
   retries: RetryShareLimits
-  /**
-   * Requests that a cold upstream may get in one second: `times` its cold-start rate, plus `slack`.
-   */
+  /** Maximum requests to a cold upstream: `times` what it bears in one second, plus `slack`. */
   coldOverage: { times: number; slack: number }
   /** Maximum share of a service's requests that a bad version may get, 0 to 1. */
   exposureLimit: ExposureLimit
--- a/packages/gateway/test/fleet.test.ts
+++ b/packages/gateway/test/fleet.test.ts
@@ -11,7 +11,7 @@
   return fleet
 }
 
-/** Calls at the store a second while the clock moves on. */
+/** Store calls per second over the next `seconds`. */
 async function callRate(fleet: Fleet, seconds: number): Promise<number> {
   const before = fleet.store.calls
   await fleet.clock.advance(seconds * 1_000)
@@ -29,12 +29,14 @@
   revision: 1,
 })
 
-/** Within this the fleet must know that an upstream leaves. */
+/** Time until all boxes must know that an upstream has left. */
 const NEWS_WITHIN = 3_000
-/** The part of the fleet's retry budget that no request has to earn. */
+/** Fixed part of the fleet's retry budget, independent of the number of requests. */
 const FIXED_RETRIES = 50
 
-/** All boxes retry for as long as their budget for a service without requests lets them. Gives the retries of all. */
+/**
+ * Uses up the retry budget of every box for a service without requests. Returns the retries of all.
+ */
 function spendRetries({ boxes, clock }: Fleet): number {
   let spent = 0
   for (const { gateway } of boxes) {
@@ -45,14 +47,14 @@
   return spent
 }
 
-const oldest = (fleet: Fleet) =>
+const maxOperatorAge = (fleet: Fleet) =>
   Math.max(...fleet.boxes.map(({ gateway }) => gateway.services.operators.age))
 
 describe('a fleet of gateways', () => {
   let fleet: Fleet
   afterEach(() => fleet.stop())
 
-  it('all serve and know of each other, though they entered at the same moment', async () => {
+  it('serves on all boxes and lists all addresses after a simultaneous start', async () => {
     fleet = await startFleet(30)
     for (const { gateway } of fleet.boxes) {
       expect(gateway.isReady()).to.equal(true)
@@ -60,41 +62,40 @@
     }
   })
 
-  it('asks the store as often as a few boxes would', async () => {
+  it('calls the store less than 6 times a second with 30 boxes, and stays fresh', async () => {
     fleet = await startFleet(30)
     expect(await callRate(fleet, 10)).to.be.below(6)
-    expect(oldest(fleet)).to.be.below(2_500)
+    expect(maxOperatorAge(fleet)).to.be.below(2_500)
   })
 
-  it('asks the store no more often with twice the boxes, since proofs reach them in time', async () => {
+  it('calls the store less than 5 times a second with 60 boxes', async () => {
     fleet = await startFleet(60)
-    // 7.1 while proofs waited for the next round of gossip.
     expect(await callRate(fleet, 10)).to.be.below(5)
   })
 
-  it('does not fall upon a store that is out, and is fresh again soon after its return', async () => {
+  it('limits calls during a store outage, and is fresh within 1.5 s of its end', async () => {
     fleet = await startFleet(60)
     fleet.store.isOut = true
     expect(await callRate(fleet, 8)).to.be.below(50)
     fleet.store.isOut = false
     await fleet.clock.advance(1_500)
-    expect(oldest(fleet)).to.be.below(1_500)
+    expect(maxOperatorAge(fleet)).to.be.below(1_500)
   })
 
-  it('reads through other boxes when the store turns away those that read for all', async () => {
+  it('reads through other boxes when the store rejects the readers', async () => {
     fleet = await startFleet(30)
     for (const box of fleet.boxes.slice(0, 10)) box.isTurnedAway = true
     let worst = 0
     const before = fleet.store.calls
     for (let step = 0; step < 40; step++) {
       await fleet.clock.advance(200)
-      worst = Math.max(worst, oldest(fleet))
+      worst = Math.max(worst, maxOperatorAge(fleet))
     }
     expect(worst).to.be.below(3_000)
     expect((fleet.store.calls - before) / 8).to.be.below(30)
   })
 
-  it('takes an upstream off every list in time, also where the store was lost for a while before', async () => {
+  it('removes an upstream from all lists within 3 s, also 8 s after an outage and partial rejections', async () => {
     fleet = createFleet(DATA_CENTRES)
     fleet.store.upstreams = ['u1', 'u2'].map(createUpstream)
     fleet.add(30)
@@ -114,15 +115,9 @@
       ])
   })
 
-  /**
-   * What users saw: requests still reached an upstream 3.3 to 3.5 s after it had left, where 3 s are allowed.
-   * Order of events: a box comes back from an outage or a cut, and keeps entries that are missing for a while, since their
-   * upstreams may only have to write them again; an upstream leaves in that time without a word before; the list changes no more,
-   * and all later proofs say just that, so that nothing ends the while.
-   * Evidence: half of 23 boxes were cut off for 5 s, and an upstream left 0.7 s after; boxes that had been cut off went on asking it.
-   * Here 28 of 30 boxes still kept it 23 s later.
-   */
-  it('sends nothing more to an upstream whose entry went soon after the store had come back, though nothing else changes', async () => {
+  // Missing entries are kept for a while after an outage. Guards against keeping them forever when
+  // the list does not change again.
+  it('removes an upstream within 3 s when its entry is deleted 0.7 s after an outage and nothing else changes', async () => {
     fleet = createFleet(DATA_CENTRES)
     fleet.store.upstreams = ['u1', 'u2', 'u3'].map(createUpstream)
     fleet.add(30)
@@ -138,7 +133,7 @@
       expect(gateway.services.upstreams.readyVersions('pool').get('v1'), identity.box).to.equal(2)
   })
 
-  it('knows of no outage while the list changes faster than it is read, nor when boxes start', async () => {
+  it('detects no outage while the list changes faster than it is read and boxes start', async () => {
     fleet = createFleet(DATA_CENTRES)
     fleet.add(9)
     await fleet.clock.advance(6_000)
@@ -152,23 +147,23 @@
     expect(fleet.notes.filter(({ event }) => event === 'list-lost')).to.deep.equal([])
   })
 
-  it('tells of work in a bounded number of messages, however many boxes listen', async () => {
+  it('shares the work of 90 boxes in 4 to 18 messages per box and second', async () => {
     fleet = await startFleet(90)
-    const toldBefore = fleet.sent('work') + fleet.sent('work-sums')
+    const sentBefore = fleet.sent('work') + fleet.sent('work-sums')
     const prompt = { model: 'm', whole: 90, shared: 0, sharedTokens: 0 }
     for (let round = 0; round < 8; round++) {
       for (const { gateway } of fleet.boxes)
         gateway.services.work.begin(`u${round}`, prompt, 1_000, true)
       await fleet.clock.advance(250)
     }
-    const told = fleet.sent('work') + fleet.sent('work-sums') - toldBefore
-    // A box and second: 116 messages where each box told its whole data centre, 15 by way of relays.
-    expect(told / 90 / 2).to.be.within(4, 18)
+    const sent = fleet.sent('work') + fleet.sent('work-sums') - sentBefore
+    // Messages per box and second.
+    expect(sent / 90 / 2).to.be.within(4, 18)
     for (const { gateway } of fleet.boxes)
       expect(gateway.services.work.waiting('u7')).to.be.closeTo(90 * 30, 1)
   })
 
-  it('tells of work again by way of another relay once the first has fallen silent', async () => {
+  it('shares work through another relay within 5 s of the end of the first', async () => {
     fleet = await startFleet(60)
     const relay = fleet.boxes.find(({ gateway }) => gateway.services.work.role === 'relay')!
     const isNear = ({ identity }: FleetBox) =>
@@ -184,7 +179,7 @@
       expect(gateway.services.work.waiting('engine-1'), identity.box).to.be.closeTo(500, 1)
   })
 
-  it('takes no box for silent while all of them speak, though hearsay comes in every other round', async () => {
+  it('keeps all boxes live while all send gossip, with full reports in every other round only', async () => {
     fleet = await startFleet(60)
     for (let step = 0; step < 30; step++) {
       await fleet.clock.advance(200)
@@ -193,33 +188,28 @@
     }
   })
 
-  it('asks the store three times for each of many boxes that return at the same moment', async () => {
+  it('calls the store at most 3.5 times per box when 40 of 60 boxes restart at once', async () => {
     fleet = await startFleet(60)
     const before = fleet.store.calls
-    const returned = await fleet.restart(fleet.boxes.slice(0, 40))
+    const restarted = await fleet.restart(fleet.boxes.slice(0, 40))
     await fleet.clock.advance(2_000)
-    for (const { gateway } of returned) expect(gateway.isReady()).to.equal(true)
-    // Beside the 4 calls a second of those that read for all.
+    for (const { gateway } of restarted) expect(gateway.isReady()).to.equal(true)
+    // Without the 4 calls per second of the readers.
     expect((fleet.store.calls - before - 8) / 40).to.be.at.most(3.5)
   })
 
-  it('shares its budgets with boxes that it has not heard of yet', async () => {
+  it('divides budgets by all registered boxes before their first gossip arrives', async () => {
     fleet = await startFleet(30)
-    const returned = await fleet.restart([...fleet.boxes])
+    const restarted = await fleet.restart([...fleet.boxes])
     await fleet.clock.advance(20)
-    for (const { identity, gateway } of returned) {
+    for (const { identity, gateway } of restarted) {
       expect(gateway.services.boxCount(), identity.box).to.be.below(30)
       expect(gateway.services.sharingBoxes(), identity.box).to.equal(30)
     }
   })
 
-  /**
-   * What users saw: engines got 634 requests beyond the first of each in 10 s, for 630 requests, where 621 were allowed.
-   * Order of events: answers are lost, and the boxes spend their parts of the fixed budget on retries; all boxes are killed;
-   * they return, have forgotten what they spent, and spend their parts again; the same once more 5 s later.
-   * Evidence: seven boxes, killed twice within the 10 s: what was beyond the allowed is less than two such parts.
-   */
-  it('spends the fixed part of a retry budget once in its window, however often all boxes return', async () => {
+  // Guards against boxes that spend their part of the fixed budget again after each restart.
+  it('spends the fixed part of a retry budget once per window, however often all boxes restart', async () => {
     fleet = await startFleet(7)
     let spent = spendRetries(fleet)
     expect(spent).to.be.within(FIXED_RETRIES / 2, FIXED_RETRIES)
@@ -233,7 +223,7 @@
     expect(spendRetries(fleet)).to.be.within(FIXED_RETRIES / 2, FIXED_RETRIES)
   })
 
-  it('spends no more than the fixed part of a retry budget while boxes that start cannot learn of each other', async () => {
+  it('spends at most the fixed part of a retry budget when boxes start during a store outage', async () => {
     fleet = createFleet(DATA_CENTRES)
     fleet.store.isOut = true
     fleet.add(7)
@@ -241,7 +231,7 @@
     expect(spendRetries(fleet)).to.be.at.most(FIXED_RETRIES)
   })
 
-  it('tells all boxes within a moment that another process has the address of an upstream', async () => {
+  it('informs all boxes within 100 ms that 40 upstreams have ended, in at most 10 messages per box', async () => {
     fleet = createFleet(DATA_CENTRES)
     const names = Array.from({ length: 40 }, (_, at) => `u${at}`)
     fleet.store.upstreams = names.map(createUpstream)
@@ -249,16 +239,15 @@
     await fleet.clock.advance(6_000)
     const { upstreams, outcomes } = fleet.boxes[0]!.gateway.services
     const query = { service: 'pool', admits: () => true, tried: [], bodyBytes: 0, channelLimit: 9 }
-    for (let found = upstreams.pick(query); found; found = upstreams.pick(query))
-      outcomes.note(found, 'gone')
+    for (let upstream = upstreams.pick(query); upstream; upstream = upstreams.pick(query))
+      outcomes.note(upstream, 'gone')
     await fleet.clock.advance(100)
     for (const { identity, gateway } of fleet.boxes)
       expect(gateway.services.upstreams.couldTake(query, Infinity), identity.box).to.equal(false)
-    // 8 messages a box, whatever the number of upstreams.
     expect(fleet.sent('upstreams-gone') / 60).to.be.at.most(10)
   })
 
-  it('finds each other again when all boxes return at the same moment', async () => {
+  it('counts all boxes as live within 2.5 s of a restart of all', async () => {
     fleet = await startFleet(60)
     await fleet.restart([...fleet.boxes])
     await fleet.clock.advance(2_500)
@@ -266,14 +255,14 @@
       expect(gateway.services.boxCount(), identity.box).to.equal(60)
   })
 
-  it('enters itself again when its entry is gone, also where no other box has one', async () => {
+  it('registers its boxes again when all entries have been deleted', async () => {
     fleet = await startFleet(2)
     fleet.store.entries.clear()
     await fleet.clock.advance(75_000)
     expect([...fleet.store.entries.keys()].sort()).to.deep.equal(['box-000', 'box-001'])
   })
 
-  it('hears of a new box without asking the store', async () => {
+  it('lists a new box within 4 s with few calls of the store', async () => {
     fleet = await startFleet(30)
     const before = fleet.store.calls
     fleet.add(1)
@@ -282,7 +271,7 @@
     expect(fleet.store.calls - before).to.be.below(35)
   })
 
-  it('tells the work of a box to all of its data centre and to no other', async () => {
+  it('shares the work of a box within its data centre only', async () => {
     fleet = await startFleet(30)
     const sender = fleet.boxes[0]!
     const prompt = { model: 'm', whole: 500, shared: 0, sharedTokens: 0 }
--- a/packages/gateway/test/hearsay.test.ts
+++ b/packages/gateway/test/hearsay.test.ts
@@ -13,19 +13,19 @@
   isStoreLost: true,
 }
 
-describe('hearsay', () => {
-  it('is read as it was packed', () => {
+describe('packed relayed reports', () => {
+  it('are unpacked to the entries that were packed', () => {
     const entries = [entry, { ...entry, box: 1, state: 'starting', isStoreLost: false }]
     expect(unpackRelayedReports(packRelayedReports(entries as RelayedReport[]))).to.deep.equal(
       entries,
     )
   })
 
-  it('takes 11 bytes a box', () => {
+  it('take 11 bytes per entry', () => {
     expect(packRelayedReports([entry, entry])).to.have.length(22)
   })
 
-  it('is passed over where bytes are missing', () => {
+  it('ignore a truncated last entry', () => {
     expect(unpackRelayedReports(packRelayedReports([entry, entry]).subarray(0, 15))).to.deep.equal([
       entry,
     ])
--- a/packages/gateway/test/suspension.test.ts
+++ b/packages/gateway/test/suspension.test.ts
@@ -11,83 +11,81 @@
   type TestGateway,
 } from './testGateway.js'
 
-/**
- * What users would see: a key that was taken away while a machine was suspended is honoured by the first requests after it wakes; a caller whose
- * time has long passed is kept waiting. Evidence: the clock stood still then (`systemClock.test.ts`).
- * On a moved clock a suspension is time that passes without a timer firing; requests come before the first of them.
- */
-const answers: Behaviour = ({ headers }, response) =>
+// Guards against accepting revoked keys, or exceeding request deadlines, after a suspension. Here
+// the clock advances during it without firing timers, and requests arrive before the first timer.
+const respond: Behaviour = ({ headers }, response) =>
   void response
     .writeHead(200, { id: headers.id as string, signed: headers.id as string, 'content-length': 2 })
     .end('ok')
-const saysNothing: Behaviour = () => undefined
+const neverRespond: Behaviour = () => undefined
 
 const organisations = [{ name: 'belle-mare', priority: 0, keys: ['key-1'] }]
 
-describe('a box whose machine was suspended', () => {
-  const open: { close(): Promise<void> }[] = []
+describe('a box after a suspension of its machine', () => {
+  const resources: { close(): Promise<void> }[] = []
   afterEach(async () => {
-    for (const thing of open.splice(0)) await thing.close()
+    for (const resource of resources.splice(0)) await resource.close()
   })
 
   async function start(
     behave: Behaviour,
-  ): Promise<{ running: TestGateway; desk: StandInUpstream }> {
-    const desk = await startUpstream('desk-1', behave)
+  ): Promise<{ running: TestGateway; upstream: StandInUpstream }> {
+    const upstream = await startUpstream('desk-1', behave)
     const routes = [createTestRoute({ isPublic: false, kind: 'unsafe' })]
-    const running = await startTestGateway([desk], { routes, organisations })
-    open.push(running)
-    return { running, desk }
+    const running = await startTestGateway([upstream], { routes, organisations })
+    resources.push(running)
+    return { running, upstream }
   }
 
-  function ask(running: TestGateway): { status: number | undefined } {
-    const seen: { status: number | undefined } = { status: undefined }
+  /** Sends a request; `status` is set once the response is complete. */
+  function sendRequest(running: TestGateway): { status: number | undefined } {
+    const response: { status: number | undefined } = { status: undefined }
     void request(`http://${running.entry.address}/desk/1`, {
       method: 'POST',
       body: 'hello',
       headers: { id: 'r1', key: 'key-1', 'time-left': '1500' },
     }).then(async ({ statusCode, body }) => {
       await body.dump()
-      seen.status = statusCode
+      response.status = statusCode
     })
-    return seen
+    return response
   }
 
-  /** Lets what came over sockets happen while the clock stands. */
+  /** Processes socket events without advancing the clock, until `condition` holds. */
   async function settle(running: TestGateway, condition: () => boolean): Promise<void> {
     for (let step = 0; step < 2_000 && !condition(); step++) await running.clock.advance(0)
   }
 
   for (const span of [4_000, 5_000, 60_000])
-    it(`honours no key on a proof from before ${span} ms of it, in the very first request`, async () => {
-      const { running, desk } = await start(answers)
+    it(`rejects the first request after ${span} ms of suspension and a store outage with 503`, async () => {
+      const { running, upstream } = await start(respond)
       running.store.isOut = true
       running.clock.suspend(span)
-      const seen = ask(running)
-      await settle(running, () => seen.status !== undefined)
-      expect(seen.status).to.equal(503)
-      expect(desk.requests.length).to.equal(0)
+      const response = sendRequest(running)
+      await settle(running, () => response.status !== undefined)
+      expect(response.status).to.equal(503)
+      expect(upstream.requests.length).to.equal(0)
     })
 
-  it('serves with a proof that still stands after a short one', async () => {
-    const { running } = await start(answers)
+  it('serves the first request after a suspension shorter than the key revocation time', async () => {
+    const { running } = await start(respond)
     running.clock.suspend(1_000)
-    const seen = ask(running)
-    await settle(running, () => seen.status !== undefined)
-    expect(seen.status).to.equal(200)
+    const response = sendRequest(running)
+    await settle(running, () => response.status !== undefined)
+    expect(response.status).to.equal(200)
   })
 
-  it('ends requests whose time has passed meanwhile, with the first timers', async () => {
-    const { running, desk } = await start(saysNothing)
-    const seen = ask(running)
-    await settle(running, () => desk.requests.length === 1)
+  it('answers 504 with the first timer to a request whose deadline passed during the suspension', async () => {
+    const { running, upstream } = await start(neverRespond)
+    const response = sendRequest(running)
+    await settle(running, () => upstream.requests.length === 1)
     running.clock.suspend(30_000)
     await running.clock.advance(1)
-    await settle(running, () => seen.status !== undefined)
-    expect(seen.status).to.equal(504)
+    await settle(running, () => response.status !== undefined)
+    expect(response.status).to.equal(504)
   })
 
-  it('takes dead connections for its own doing, before and after its first timer', async () => {
+  it('detects the pause before and after the first timer', async () => {
     const clock = new ManualClock()
     const pauses = new PauseWatch(clock)
     pauses.start()
