--- a/packages/gateway/src/createGateway.ts
+++ b/packages/gateway/src/createGateway.ts
@@ -181,7 +181,7 @@
       services.stalls.giveUpOn(upstream)
       reachability.awaitReturn(upstream)
     },
-    onGone: ({ run }) => peers.announceGone([run]),
+    onGone: ({ run }) => peers.announceEndedRuns([run]),
   })
   const reachability = new ReachabilityWatch({
     clock,
--- a/packages/gateway/src/tasks/knownBoxes.ts
+++ b/packages/gateway/src/tasks/knownBoxes.ts
@@ -154,12 +154,12 @@
 }
 
 /**
- * Whether a relayed report of the given age is about a run that started after the known one: judged
- * by its start time, or because the known run has fallen silent.
+ * Whether a run of the given age started after the known one: judged by its start time, or because
+ * the known run has fallen silent.
  */
-function isLaterRun(known: KnownBox, age: Milliseconds, now: Milliseconds): boolean {
+function isLaterRun(known: KnownBox, runAge: Milliseconds, now: Milliseconds): boolean {
   const knownStart = known.lastReportAt - known.sequence
-  return now - age > knownStart + MAX_RELAY_DELAY || now - known.lastReportAt > SILENT_AFTER
+  return now - runAge > knownStart + MAX_RELAY_DELAY || now - known.lastReportAt > SILENT_AFTER
 }
 
 function toRelayedReport({ entry, run, sequence, state, isStoreLost }: KnownBox): RelayedReport {
--- a/packages/gateway/src/tasks/peerTask.ts
+++ b/packages/gateway/src/tasks/peerTask.ts
@@ -124,7 +124,7 @@
   #workRole: WorkRole = 'direct'
   #workRecipients: BoxEntry[] = []
   /** Runs of upstreams that have ended. */
-  readonly #gone: DelayedBatch<string>
+  readonly #endedRuns: DelayedBatch<string>
   readonly #suspects: DelayedBatch<SuspectNews>
   readonly #statements: DelayedBatch<Statement>
   #fullRelayAt = -Infinity
@@ -147,7 +147,7 @@
     'upstreams-gone': (_from, { runs }) => {
       const added = this.options.onUpstreamsGone(runs)
       // In a mesh the box that detected the end has already sent it to all.
-      if (!this.isMesh) this.announceGone(added)
+      if (!this.isMesh) this.announceEndedRuns(added)
     },
     upstreams: (_from, { entries, version, stamp, age }) =>
       this.options.onUpstreams(entries, version, age === undefined ? undefined : stamp - age),
@@ -173,7 +173,7 @@
     const { clock } = options
     const broadcast = (message: GatewayMessage) =>
       this.#broadcast(this.#topology.neighbours, () => message)
-    this.#gone = new DelayedBatch(clock, BATCH_DELAY, runs =>
+    this.#endedRuns = new DelayedBatch(clock, BATCH_DELAY, runs =>
       broadcast({ type: 'upstreams-gone', runs }),
     )
     this.#suspects = new DelayedBatch(clock, BATCH_DELAY, entries =>
@@ -276,8 +276,8 @@
    * Sends the neighbours runs of upstreams that have ended, batched. Each box forwards each run
    * once, so that not every box has to detect the end by a failed request.
    */
-  announceGone(runs: readonly string[]): void {
-    this.#gone.add(runs)
+  announceEndedRuns(runs: readonly string[]): void {
+    this.#endedRuns.add(runs)
   }
 
   /**
--- a/packages/gateway/src/types/ports.ts
+++ b/packages/gateway/src/types/ports.ts
@@ -133,10 +133,7 @@
   isEncoded: boolean
   /** Seconds after which a retry may succeed. */
   retryAfter?: number
-  /**
-   * Requests per second that the upstream accepts from all boxes together, while responses state
-   * it.
-   */
+  /** Rate limit for all boxes together, in requests per second; valid while responses state it. */
   limit?: number
   /** The upstream announces that it is draining. */
   isLeaving?: boolean
@@ -152,10 +149,7 @@
 /** Reads and writes the headers of requests and responses. */
 export interface Dialect {
   readRequest(headers: RawHeaders): RequestFields
-  /**
-   * Returns the caller's headers without hop-by-hop ones, and with those that the box sets
-   * replaced.
-   */
+  /** Returns the caller's headers without hop-by-hop ones, with those that the box sets replaced. */
   writeRequest(headers: RawHeaders, fields: OutgoingFields): string[]
   readAnswer(headers: RawHeaders): AnswerFields
   /** Returns the headers of an upstream's response that are forwarded to the caller. */
