--- a/packages/gateway/src/createGateway.ts
+++ b/packages/gateway/src/createGateway.ts
@@ -49,15 +49,15 @@
   transport: PeerTransport<GatewayMessage>
   /**
    * Opens the connections to an upstream.
-   * @default connections over TCP
+   * @default opens TCP connections
    */
   openChannels?: OpenChannels
   /**
-   * Whether an address takes connections.
-   * @default tries one over TCP
+   * Whether an address accepts connections.
+   * @default attempts a TCP connection
    */
   probe?(address: string): Promise<boolean>
-  /** The operators' limits on callers have changed. */
+  /** The operator state has changed, which holds the limits on callers. */
   onConfiguration(state: OperatorState): void
 }
 
@@ -66,39 +66,39 @@
   services: GatewayServices
   start(): void
   handle(request: CallerRequest, answer: CallerAnswer): void
-  /** Addresses that callers may use now. */
+  /** Entry addresses of serving boxes, those in the given data centre first. */
   addresses(dataCentre: string | undefined): string[]
   isReady(): boolean
-  /** Takes limits that have changed from now on. Name, data centre and addresses stay until the next start. */
+  /** Applies new limits. Name, data centre and addresses take effect only at a restart. */
   reload(limits: GatewayLimits): void
-  /** The box is told of as leaving and is ready no more; it still serves. */
+  /** Starts draining: the box announces that it leaves and is no longer ready, but still serves. */
   beginToLeave(): void
   stop(): Promise<void>
 }
 
-/** A round of gossip; the directory and the proofs of freshness allow four rounds without news. */
-const GOSSIP_EVERY: Milliseconds = 400
-const ROLLOUT_EVERY: Milliseconds = 100
-/** News that come together are told together. */
-const ANNOUNCE_AFTER: Milliseconds = 5
-/** Bad answers of a version on trial are told this often at the most, between the rounds. */
-const BAD_ANSWERS_EVERY: Milliseconds = 150
-/** A box that starts has heard of others by then, if there are any: links open within a round of gossip. */
-const HEARD_OTHERS_WITHIN: Milliseconds = 1_200
-/** Boxes that read the store for all others. Two, so that the loss of one leaves no gap. */
-const READERS = 2
-/** Part of an upstream's connections that all boxes together use. */
-const CHANNEL_PART = 0.85
-const LEAST_CHANNELS = 3
-const MOST_ADDRESSES = 64
+/** Liveness and freshness checks tolerate four lost rounds. */
+const GOSSIP_INTERVAL: Milliseconds = 400
+const ROLLOUT_INTERVAL: Milliseconds = 100
+/** Announcements within this time are sent together. */
+const ANNOUNCE_DELAY: Milliseconds = 5
+/** Minimum interval between extra rounds of gossip for bad answers of a version on trial. */
+const BAD_ANSWER_ANNOUNCE_INTERVAL: Milliseconds = 150
+/** A starting box has received gossip by then if there are others. */
+const DISCOVERY_PERIOD: Milliseconds = 1_200
+/** Boxes that read the store for all others; two, for redundancy. */
+const STORE_READER_COUNT = 2
+/** Share of an upstream's connection limit that all boxes together use. */
+const CONNECTION_SHARE = 0.85
+const MIN_CONNECTIONS = 3
+const MAX_ADDRESSES = 64
 
-/** Builds a gateway from its settings, a clock, a source of chance and what speaks to the outside. */
+/** Creates a gateway from its settings, clock, source of randomness and ports to the outside. */
 export function createGateway(options: GatewayOptions): Gateway {
   const { settings, identity, clock, random, log, metrics, dialect, store, transport } = options
   let state: GatewayState = 'starting'
-  const rounds: Timer[] = []
+  const timers: Timer[] = []
   let isAnnouncing = false
-  let badAnswerToldAt = -Infinity
+  let badAnswerAnnouncedAt = -Infinity
   let leavingSince: Milliseconds | undefined
   const pauses = new PauseWatch(clock)
 
@@ -114,9 +114,9 @@
   })
   const work: EngineWork = new EngineWork({
     clock,
-    tell: entries => peers.tellWork(entries),
-    role: () => peers.role,
-    listeners: () => peers.listeners,
+    tell: entries => peers.sendWork(entries),
+    role: () => peers.workRole,
+    listeners: () => peers.workRecipientCount,
   })
   const budget: SendBudget = new SendBudget({
     clock,
@@ -127,7 +127,7 @@
     boxes: () => peers.places(),
     limited: () => statements.limited,
     hearsOthers: () => peers.live().length > 0,
-    boxCount: () => (peers.hasEntries ? Math.max(1, peers.entered) : 0),
+    boxCount: () => (peers.hasEntries ? Math.max(1, peers.registeredBoxCount) : 0),
   })
   const statements: StatementTask = new StatementTask({
     clock,
@@ -136,14 +136,14 @@
     find: run => upstreams.ofRun(run),
     all: () => upstreams.all(),
     pauses,
-    tell: entries => peers.tellStatements(entries),
+    tell: entries => peers.announceStatements(entries),
   })
   const suspects: CrashSuspects = new CrashSuspects({
     holder: voterOf(identity),
     clock,
     random,
     note: (event, fields) => log.note(event, fields),
-    tell: news => peers.tellSuspects(news),
+    tell: news => peers.announceSuspects(news),
     isMesh: () => peers.isMesh,
     onCondemned(entry) {
       metrics.count('crashes', 'condemned')
@@ -181,7 +181,7 @@
       services.stalls.giveUpOn(upstream)
       reachability.awaitReturn(upstream)
     },
-    onGone: ({ run }) => peers.tellGone([run]),
+    onGone: ({ run }) => peers.announceEndedRuns([run]),
   })
   const reachability = new ReachabilityWatch({
     clock,
@@ -272,8 +272,8 @@
     onUpstreamsGone: runs => runs.filter(run => upstreams.takeGone(run)),
     onRollouts: statuses => rollouts.takeStatuses(statuses),
     onVerdicts: verdicts => rollouts.takeVerdicts(verdicts),
-    onWork: (box, entries) => work.takePeerWork(box, entries),
-    onWorkSums: entries => work.takeSums(entries),
+    onWork: (box, entries) => work.recordPeerWork(box, entries),
+    onWorkSums: entries => work.recordDataCentreWork(entries),
     onWorkRole: () => work.changeRole(),
     currentWork: () => work.all(),
     onStoreClock: (storeNow, at) => rollouts.noteStoreClock(storeNow, at),
@@ -294,45 +294,49 @@
     return { version, entries: listed, ...(Number.isFinite(age) && { age }) }
   }
 
-  /** The box serves as soon as it knows the configuration and the upstreams. */
+  /** Switches to serving once the configuration and the list of upstreams are known. */
   function beginToServe(): void {
     if (state !== 'starting' || !operators.index || upstreams.list.version === 0) return
     state = 'serving'
     log.note('serving', { after: Math.round(clock.now() - startedAt) })
   }
 
-  /** Tells the neighbours of news now; those that lack it ask for it. */
+  /** Sends a round of gossip soon; neighbours request the content that they lack. */
   function announce(): void {
     beginToServe()
     if (isAnnouncing) return
     isAnnouncing = true
-    clock.after(ANNOUNCE_AFTER, () => {
+    clock.after(ANNOUNCE_DELAY, () => {
       isAnnouncing = false
       peers.tick()
     })
   }
 
-  /** A version that turns bad late is judged within a second or so, of which waiting for the next round would take half. */
+  /**
+   * Sends bad answers of a version on trial without waiting for the next round, to judge it sooner.
+   */
   function announceBadAnswer(): void {
-    if (clock.now() - badAnswerToldAt < BAD_ANSWERS_EVERY) return
-    badAnswerToldAt = clock.now()
+    if (clock.now() - badAnswerAnnouncedAt < BAD_ANSWER_ANNOUNCE_INTERVAL) return
+    badAnswerAnnouncedAt = clock.now()
     announce()
   }
 
   /**
-   * A box that has just started has heard nobody yet, and would read for all: with 195 boxes started at once that was a call
-   * of each.
+   * Before the first gossip arrives a starting box would rank first and read the store for all, as
+   * would every other box of a simultaneous start.
    */
-  function isWaitingForOthers(): boolean {
-    return peers.live().length === 0 && clock.now() - startedAt < HEARD_OTHERS_WITHIN
+  function isDiscovering(): boolean {
+    return peers.live().length === 0 && clock.now() - startedAt < DISCOVERY_PERIOD
   }
 
-  /** Whether this box reads the store for all others. */
+  /** Whether this box is one of those that read the store for all others. */
   function isReader(): boolean {
-    return !isWaitingForOthers() && rank() < READERS
+    return !isDiscovering() && rank() < STORE_READER_COUNT
   }
 
-  /** This box's place by name among the boxes that serve. Those that have lost the store come after those that have not. */
+  /**
+   * Position of this box among the serving ones: those that reach the store first, then by name.
+   */
   function rank(): number {
     const serving = peers.live().filter(peer => peer.state === 'serving')
     return serving.filter(
@@ -342,9 +346,9 @@
     ).length
   }
 
-  /** Boxes that share what all may use together: those entered in the store count before they are heard of. */
+  /** Number of boxes that share limits; registered boxes count before their first report. */
   function knownBoxCount(): number {
-    return Math.max(services.boxCount(), peers.entered)
+    return Math.max(services.boxCount(), peers.registeredBoxCount)
   }
 
   metrics.watch('held', () => upstreams.heldBack())
@@ -376,7 +380,7 @@
     sharingBoxes: () => (peers.hasEntries ? knownBoxCount() : Infinity),
     channelLimit(service) {
       const most = operators.index?.service(service)?.maxConnections ?? Infinity
-      return Math.max(LEAST_CHANNELS, Math.floor((CHANNEL_PART * most) / knownBoxCount()))
+      return Math.max(MIN_CONNECTIONS, Math.floor((CONNECTION_SHARE * most) / knownBoxCount()))
     },
   }
 
@@ -386,9 +390,9 @@
     log,
     store,
     isFirstStart: settings.isFirstStart,
-    clearsAway: () => rank() === 0,
+    removesSilentEntries: () => rank() === 0,
     silentEntries: () => peers.silentEntries(),
-    onEntries: known => peers.takeEntries(known),
+    onEntries: known => peers.replaceEntries(known),
   })
 
   return {
@@ -398,10 +402,10 @@
       services.stalls.start()
       entries.start()
       condemned.start()
-      rounds.push(
+      timers.push(
         services.pauses.start(),
-        every(clock, GOSSIP_EVERY, () => peers.tick()),
-        every(clock, ROLLOUT_EVERY, () => rollouts.tick()),
+        every(clock, GOSSIP_INTERVAL, () => peers.tick()),
+        every(clock, ROLLOUT_INTERVAL, () => rollouts.tick()),
       )
     },
     handle(request, answer) {
@@ -414,10 +418,10 @@
         .filter(peer => peer.state === 'serving')
         .map(peer => peer.entry)
       const own = state === 'serving' ? [{ ...identity }] : []
-      const known = [...own, ...others]
-      const near = known.filter(box => box.dataCentre === dataCentre)
-      const far = known.filter(box => box.dataCentre !== dataCentre)
-      return [...near, ...far].slice(0, MOST_ADDRESSES).map(box => box.entryAddress)
+      const serving = [...own, ...others]
+      const near = serving.filter(box => box.dataCentre === dataCentre)
+      const far = serving.filter(box => box.dataCentre !== dataCentre)
+      return [...near, ...far].slice(0, MAX_ADDRESSES).map(box => box.entryAddress)
     },
     isReady: () => state === 'serving',
     reload(limits) {
@@ -433,7 +437,7 @@
     },
     async stop() {
       entries.stop()
-      for (const round of rounds) round.cancel()
+      for (const timer of timers) timer.cancel()
       reader.stop()
       condemned.stop()
       await transport.close()
