--- a/packages/decisions/src/exposure/evidence.ts
+++ b/packages/decisions/src/exposure/evidence.ts
@@ -1,11 +1,11 @@
 /**
- * Evidence about versions from ratings, counted by every box for itself and spread by heartbeats. A counter
- * belongs to one box, version, kind and block of time and only grows, so that merging is taking the larger,
- * in any order and however often.
+ * Rating counts of model versions, replicated between boxes by heartbeats. Each counter belongs to
+ * one box, version, kind and time block and only grows, so that merging takes the maximum of each
+ * field: the merge is commutative and idempotent.
  */
 import type { Milliseconds } from '../types/clock.js'
 
-/** Counts of one box in one block of time. Each field only grows. */
+/** Counts of one box in one time block. `served`, `good` and `bad` only grow. */
 export interface EvidenceCounter {
   /** `box/incarnation/model@version/kind/block`. */
   key: string
@@ -15,7 +15,7 @@
   served: number
   good: number
   bad: number
-  /** The count of changes at this box that this state belongs to; for sending only what is new. */
+  /** Local sequence number of the last change; selects the counters that are still to be sent. */
   change: number
 }
 
@@ -25,10 +25,10 @@
   changes: number
 }
 
-/** Blocks by which evidence is cut, so that a version that turns bad is not hidden by its good past. */
-export const BLOCK_LENGTH: Milliseconds = 60_000
-/** Older counters than this many blocks are added to one counter for all older time. */
-export const KEPT_BLOCKS = 30
+/** Length of a time block. Blocks keep old good ratings from masking a later regression. */
+export const BLOCK_DURATION: Milliseconds = 60_000
+/** Number of recent blocks kept apart; older ones are merged into `OLDER_BLOCK`. */
+export const RETAINED_BLOCKS = 30
 export const OLDER_BLOCK = -1
 
 export function createEvidenceStore(self: string): EvidenceStore {
@@ -36,7 +36,7 @@
 }
 
 export function blockOf(wallTime: Milliseconds): number {
-  return Math.floor(wallTime / BLOCK_LENGTH)
+  return Math.floor(wallTime / BLOCK_DURATION)
 }
 
 /** Adds to this box's own counter. */
@@ -54,9 +54,9 @@
   store.counters.set(key, counter)
 }
 
-/** Takes what another box counted. */
-export function mergeEvidence(store: EvidenceStore, heard: readonly EvidenceCounter[]): void {
-  for (const counter of heard) {
+/** Merges counters received from another box. */
+export function mergeEvidence(store: EvidenceStore, received: readonly EvidenceCounter[]): void {
+  for (const counter of received) {
     const known = store.counters.get(counter.key)
     const isNew =
       !known ||
@@ -81,10 +81,13 @@
   )
 }
 
-/** Adds counters of closed blocks together, so that their number stays bounded. */
+/**
+ * Merges this box's old blocks into `OLDER_BLOCK` and drops those of other boxes, which bounds the
+ * number of counters.
+ */
 export function foldOldEvidence(store: EvidenceStore, block: number): void {
   for (const counter of [...store.counters.values()]) {
-    if (counter.block === OLDER_BLOCK || counter.block > block - KEPT_BLOCKS) continue
+    if (counter.block === OLDER_BLOCK || counter.block > block - RETAINED_BLOCKS) continue
     store.counters.delete(counter.key)
     if (!counter.key.startsWith(`${store.self}/`)) continue
     addEvidence(
--- a/packages/decisions/src/exposure/halts.ts
+++ b/packages/decisions/src/exposure/halts.ts
@@ -1,16 +1,17 @@
 /**
- * Halts of versions: the system's own decisions, beside the operators' rows. A halt needs no leader: any box
- * whose evidence suffices sets it, and setting it twice is setting it once. Only an operator lifts it, which
- * starts the next generation; of two states the later generation wins, and within one the halt.
+ * Automatic halt of a version, kept apart from the rows that operators write. Setting one needs no
+ * leader and is idempotent: any box with enough evidence does it. Only an operator lifts a halt,
+ * which starts the next generation. On conflict the higher generation wins, and within a generation
+ * `halted` wins.
  */
 export interface Halt {
   /** `model@version`. */
   version: string
   generation: number
   state: 'halted' | 'lifted'
-  /** For people. */
+  /** Human-readable. */
   reason: string
-  /** Evidence from before this block of time does not count any more. */
+  /** First time block whose evidence counts; earlier blocks are ignored. */
   evidenceFrom?: number
 }
 
@@ -22,25 +23,25 @@
 
 export type Halts = Map<string, Halt>
 
-/** Whether a version may get new sessions. */
+/** Whether a version is halted, and so gets no new sessions. */
 export function isHalted(halts: Halts, version: string): boolean {
   return halts.get(version)?.state === 'halted'
 }
 
-/** Takes a halt heard of. True when it changed what is known. */
-export function mergeHalt(halts: Halts, heard: Halt): boolean {
-  const known = halts.get(heard.version)
-  if (known && !supersedes(heard, known)) return false
-  halts.set(heard.version, heard)
+/** Merges a halt received from another box. Returns whether the local state changed. */
+export function mergeHalt(halts: Halts, received: Halt): boolean {
+  const known = halts.get(received.version)
+  if (known && !supersedes(received, known)) return false
+  halts.set(received.version, received)
   return true
 }
 
-function supersedes(heard: Halt, known: Halt): boolean {
-  if (heard.generation !== known.generation) return heard.generation > known.generation
-  return heard.state === 'halted' && known.state === 'lifted'
+function supersedes(received: Halt, known: Halt): boolean {
+  if (received.generation !== known.generation) return received.generation > known.generation
+  return received.state === 'halted' && known.state === 'lifted'
 }
 
-/** The halt that this box would set, unless one stands. */
+/** The halt to set for a version; undefined if it is halted already. */
 export function proposeHalt(halts: Halts, version: string, reason: string): Halt | undefined {
   const known = halts.get(version)
   if (known?.state === 'halted') return undefined
@@ -54,7 +55,10 @@
   }
 }
 
-/** What an operator's lifting makes of a halt. */
+/**
+ * The next generation of a halt, lifted by an operator. Evidence from before `block` no longer
+ * counts.
+ */
 export function liftHalt(halt: Halt, operator: string, block: number): Halt {
   return {
     version: halt.version,
--- a/packages/decisions/src/exposure/isShownWorse.ts
+++ b/packages/decisions/src/exposure/isShownWorse.ts
@@ -1,52 +1,53 @@
 /**
- * A sequential test of "this version is no worse than the one it replaces". The statistic is a mixture of
- * likelihood ratios, whose expectation is at most 1 at any time while the version is no worse, so it may be
- * looked at after every rating: the chance that it ever passes 1/alpha is at most alpha.
+ * Sequential test of the hypothesis that a version is no worse than the incumbent. The statistic is
+ * a mixture of likelihood ratios. Under the hypothesis its expectation is at most 1 at any time, so
+ * it may be evaluated after every rating: the probability that it ever exceeds 1/alpha is at most
+ * alpha.
  */
 import { OLDER_BLOCK, type EvidenceTotal } from './evidence.js'
 
 /** Totals of one version by kind and block. */
 export type VersionEvidence = ReadonlyMap<string, ReadonlyMap<number, EvidenceTotal>>
 
-export interface WorseTestOptions {
+export interface SequentialTestOptions {
   /**
-   * Chance of halting a version that is no worse.
+   * Probability of a false positive: halting a version that is no worse.
    * @default 0.005
    */
   alpha?: number
   /**
-   * A version this much worse, as a share of answers, is still let pass.
+   * Accepted drop in the share of good answers, 0 to 1.
    * @default 0.02
    */
   tolerance?: number
 }
 
-/** Drops in the share of good answers that the mixture bets on. */
-const DROPS = [0.05, 0.1, 0.2, 0.4]
-/** Standard errors by which the replaced version's share is lowered before it serves as the bar. */
-const BAR_STANDARD_ERRORS = 2
-const LOWEST_SHARE = 0.01
-const HIGHEST_SHARE = 0.995
+/** Drops in the share of good answers that the mixture tests, with equal weights. */
+const QUALITY_DROPS = [0.05, 0.1, 0.2, 0.4]
+/** Standard errors subtracted from the incumbent's share to allow for its own uncertainty. */
+const BASELINE_STANDARD_ERRORS = 2
+const MINIMUM_SHARE = 0.01
+const MAXIMUM_SHARE = 0.995
 /**
- * The bar of a kind stands on at least this many ratings: of the same time if there are so many, so that a fault that strikes all
- * versions now excuses none later; else of all time. Without them the kind says nothing.
+ * Fewest ratings of the incumbent that make a baseline for a kind. Ratings of the same period are
+ * used if there are enough, otherwise all of them; a kind with fewer is skipped.
  */
-const LEAST_BAR_RATINGS = 20
+const MINIMUM_BASELINE_RATINGS = 20
 
-/** Whether the evidence shows the candidate to be worse than the incumbent. */
-export function isShownWorse(
+/** Whether the candidate is worse than the incumbent at significance level `alpha`. */
+export function isSignificantlyWorse(
   candidate: VersionEvidence,
   incumbent: VersionEvidence,
-  options: WorseTestOptions = {},
+  options: SequentialTestOptions = {},
 ): boolean {
   const { alpha = 0.005, tolerance = 0.02 } = options
-  const starts = startBlocks(candidate)
-  // One test for each start of a decline, so each gets its part of alpha.
+  const starts = sortedBlocks(candidate)
+  // Bonferroni correction: one test for each block in which a decline may have started.
   const threshold = Math.log((starts.length || 1) / alpha)
   return starts.some(start => logEvidence(candidate, incumbent, start, tolerance) >= threshold)
 }
 
-/** Logarithm of the evidence that the candidate is worse, from ratings of block `start` on. */
+/** Natural logarithm of the mixture likelihood ratio, from ratings of block `start` on. */
 export function logEvidence(
   candidate: VersionEvidence,
   incumbent: VersionEvidence,
@@ -54,39 +55,46 @@
   tolerance: number,
 ): number {
   const kinds = [...candidate].flatMap(([kind, blocks]) => {
-    const bar = barOf(incumbent.get(kind), start, tolerance)
-    return bar === undefined ? [] : [{ bar, ...ratingsSince(blocks, start) }]
+    const baseline = baselineShare(incumbent.get(kind), start, tolerance)
+    return baseline === undefined ? [] : [{ baseline, ...ratingsSince(blocks, start) }]
   })
-  const bets = DROPS.map(drop =>
-    kinds.reduce((sum, { bar, good, bad }) => sum + logLikelihoodRatio(bar, drop, good, bad), 0),
+  const logRatios = QUALITY_DROPS.map(drop =>
+    kinds.reduce(
+      (sum, { baseline, good, bad }) => sum + logLikelihoodRatio(baseline, drop, good, bad),
+      0,
+    ),
   )
-  const largest = Math.max(...bets)
-  const mean = bets.reduce((sum, bet) => sum + Math.exp(bet - largest), 0) / bets.length
+  const largest = Math.max(...logRatios)
+  const mean =
+    logRatios.reduce((sum, logRatio) => sum + Math.exp(logRatio - largest), 0) / logRatios.length
   return largest + Math.log(mean)
 }
 
-function logLikelihoodRatio(bar: number, drop: number, good: number, bad: number): number {
-  const lower = Math.max(LOWEST_SHARE, bar - drop)
-  if (lower >= bar) return 0
-  return good * Math.log(lower / bar) + bad * Math.log((1 - lower) / (1 - bar))
+function logLikelihoodRatio(baseline: number, drop: number, good: number, bad: number): number {
+  const lower = Math.max(MINIMUM_SHARE, baseline - drop)
+  if (lower >= baseline) return 0
+  return good * Math.log(lower / baseline) + bad * Math.log((1 - lower) / (1 - baseline))
 }
 
-/** The share of good answers that the candidate must reach in a kind. */
-function barOf(
+/**
+ * Share of good answers that the candidate must reach in a kind; undefined if the incumbent has too
+ * few ratings.
+ */
+function baselineShare(
   blocks: ReadonlyMap<number, EvidenceTotal> | undefined,
   start: number,
   tolerance: number,
 ): number | undefined {
   if (!blocks) return undefined
   const sameTime = ratingsSince(blocks, start)
-  const isEnough = sameTime.good + sameTime.bad >= LEAST_BAR_RATINGS
+  const isEnough = sameTime.good + sameTime.bad >= MINIMUM_BASELINE_RATINGS
   const { good, bad } = isEnough ? sameTime : ratingsSince(blocks, OLDER_BLOCK)
   const rated = good + bad
-  if (rated < LEAST_BAR_RATINGS) return undefined
+  if (rated < MINIMUM_BASELINE_RATINGS) return undefined
   const share = good / rated
   const standardError = Math.sqrt((share * (1 - share)) / rated)
-  const bar = share - BAR_STANDARD_ERRORS * standardError - tolerance
-  return Math.min(HIGHEST_SHARE, Math.max(LOWEST_SHARE, bar))
+  const baseline = share - BASELINE_STANDARD_ERRORS * standardError - tolerance
+  return Math.min(MAXIMUM_SHARE, Math.max(MINIMUM_SHARE, baseline))
 }
 
 function ratingsSince(
@@ -103,18 +111,21 @@
   return { good, bad }
 }
 
-/** Logarithm of the evidence that the candidate is worse, from all of its ratings. Below 0 they speak for it. */
-export function logEvidenceOfAll(
+/**
+ * Natural logarithm of the mixture likelihood ratio over all ratings. Negative values favour the
+ * candidate.
+ */
+export function totalLogEvidence(
   candidate: VersionEvidence,
   incumbent: VersionEvidence,
   tolerance: number,
 ): number {
-  const [first] = startBlocks(candidate)
+  const [first] = sortedBlocks(candidate)
   return first === undefined ? 0 : logEvidence(candidate, incumbent, first, tolerance)
 }
 
-/** All time, and each block: a version may have turned bad in any of them. */
-function startBlocks(evidence: VersionEvidence): number[] {
+/** All blocks of a version, oldest first. A decline may start in any of them. */
+function sortedBlocks(evidence: VersionEvidence): number[] {
   const blocks = new Set<number>()
   for (const byBlock of evidence.values()) for (const block of byBlock.keys()) blocks.add(block)
   return [...blocks].sort((left, right) => left - right)
--- a/packages/decisions/src/exposure/judgeVersions.ts
+++ b/packages/decisions/src/exposure/judgeVersions.ts
@@ -1,12 +1,16 @@
 import type { Halts } from './halts.js'
 import { isHalted } from './halts.js'
 import type { EvidenceTotals } from './evidence.js'
-import { isShownWorse, type VersionEvidence, type WorseTestOptions } from './isShownWorse.js'
-import { rampStateOf, ratingCoverage, roomToRamp } from './ramp.js'
+import {
+  isSignificantlyWorse,
+  type VersionEvidence,
+  type SequentialTestOptions,
+} from './isShownWorse.js'
+import { rampStateOf, ratingCoverage, remainingAnswers } from './ramp.js'
 
 const NO_EVIDENCE: VersionEvidence = new Map()
 
-/** The evidence of a version since it was last lifted. */
+/** Evidence of a version since its last halt was lifted. */
 export function evidenceOf(totals: EvidenceTotals, halts: Halts, version: string): VersionEvidence {
   const evidence = totals.get(version)
   const from = halts.get(version)?.evidenceFrom
@@ -20,8 +24,8 @@
 }
 
 /**
- * The version that others are compared with: the one not halted that has most ratings. Undefined while no
- * version has any.
+ * The baseline version: the most rated one that is not halted. Undefined while there are no
+ * ratings.
  */
 export function resolveIncumbent(
   totals: EvidenceTotals,
@@ -37,33 +41,33 @@
   return best?.version
 }
 
-/** What the evidence says of one version of a model. */
+/** Result of comparing one version of a model with the incumbent. */
 export interface VersionJudgement {
   version: string
   isIncumbent: boolean
   shownWorse: boolean
-  /** Answers that it may give before more ratings come; Infinity for the incumbent. */
+  /** Answers that it may give before further ratings arrive; Infinity for the incumbent. */
   room: number
 }
 
-/** Judges all versions of one model that take new sessions. Names are `model@version`. */
+/** Compares all versions of one model that take new sessions. Names are `model@version`. */
 export function judgeVersions(
   totals: EvidenceTotals,
   halts: Halts,
   versions: readonly string[],
-  options: WorseTestOptions = {},
+  options: SequentialTestOptions = {},
 ): VersionJudgement[] {
   const incumbent = resolveIncumbent(totals, halts, versions)
-  const bar = incumbent ? evidenceOf(totals, halts, incumbent) : NO_EVIDENCE
-  const coverage = ratingCoverage(rampStateOf(bar))
+  const baseline = incumbent ? evidenceOf(totals, halts, incumbent) : NO_EVIDENCE
+  const coverage = ratingCoverage(rampStateOf(baseline))
   return versions.map(version => {
     const isIncumbent = version === incumbent || incumbent === undefined
     const evidence = evidenceOf(totals, halts, version)
     return {
       version,
       isIncumbent,
-      shownWorse: !isIncumbent && isShownWorse(evidence, bar, options),
-      room: isIncumbent ? Infinity : roomToRamp(rampStateOf(evidence), coverage),
+      shownWorse: !isIncumbent && isSignificantlyWorse(evidence, baseline, options),
+      room: isIncumbent ? Infinity : remainingAnswers(rampStateOf(evidence), coverage),
     }
   })
 }
--- a/packages/decisions/src/freshness/confirmation.ts
+++ b/packages/decisions/src/freshness/confirmation.ts
@@ -1,38 +1,38 @@
 import type { Milliseconds } from '../types/clock.js'
 
 /**
- * Until when a box may act on what it read from the store. A read proves that its answer was the newest at the
- * instant at which the read was *sent*: whatever changed while it was under way may be missing from it.
+ * Bounds the staleness of data read from the store. A read proves that its result was the newest at
+ * the instant at which the read was *sent*; changes made while it was in flight may be missing.
  */
 export interface Confirmation {
-  /** When the youngest proof was taken, on this box's clock. */
+  /** Instant of the newest proof, on this box's clock. */
   provedAt?: Milliseconds
 }
 
-/** Takes a proof; an older one than the present changes nothing. */
+/** Records a proof, unless a newer one is known. */
 export function confirm(state: Confirmation, provedAt: Milliseconds): void {
   if (state.provedAt === undefined || provedAt > state.provedAt) state.provedAt = provedAt
 }
 
-/** Infinite before the first proof. */
+/** Age of the newest proof; Infinity before the first. */
 export function confirmationAge(state: Confirmation, now: Milliseconds): Milliseconds {
   return state.provedAt === undefined ? Infinity : now - state.provedAt
 }
 
-/** What a peer says of its own proof, with what makes it usable on another clock. */
-export interface VouchedProof {
-  /** The receiver's own reading of its clock, sent back: it was taken before the peer began to wait. */
+/** Age of a peer's proof, with the data that translates it to the receiver's clock. */
+export interface PeerProof {
+  /** Timestamp of the receiver's clock that the peer returns. */
   echo: Milliseconds
-  /** How long the peer has held that reading. */
+  /** How long the peer held that timestamp before it sent this message. */
   heldFor: Milliseconds
-  /** Age of the peer's proof when it wrote the message. */
+  /** Age of the peer's proof when it sent this message. */
   age: Milliseconds
 }
 
 /**
- * The earliest instant, on the receiver's clock, at which the peer's proof can have been taken. The message
- * may be late by any span, on either way, and the bound still holds.
+ * Earliest instant, on the receiver's clock, at which the peer's proof can have been taken. Holds
+ * for any network delay in either direction.
  */
-export function vouchedAt({ echo, heldFor, age }: VouchedProof): Milliseconds {
+export function vouchedAt({ echo, heldFor, age }: PeerProof): Milliseconds {
   return echo + heldFor - age
 }
--- a/packages/decisions/src/freshness/resolveFreshness.ts
+++ b/packages/decisions/src/freshness/resolveFreshness.ts
@@ -2,14 +2,16 @@
 import { hasMajority, type VoterId, type VoterSet } from '../membership/voters.js'
 import type { TableState } from './tableState.js'
 
-/** Why a box may serve with its copy of the table, or that it may not. */
+/** Whether a box may serve with its copy of the table; `stale` means that it may not. */
 export type Freshness = 'confirmed' | 'vouched' | 'stale'
 
 /**
- * Says whether a box may serve with its copy. `confirmed`: the copy was the store's newest a short time ago.
- * `vouched`: the store is out, a majority of the voters says so, and none of them knows a newer revision.
- * A change is written only after a majority has heard of it, so any majority that vouches holds a box that
- * knows of the change; what that box knows is honoured before it is settled.
+ * Decides whether a box may serve with its copy. `confirmed`: the copy was the store's newest
+ * revision within the last `freshFor`. `vouched`: the store is unavailable, a majority of each
+ * relevant voter set reports so too, and none of that majority has a newer revision. A change is
+ * written only after a majority has acknowledged its announcement, so every vouching majority
+ * contains a box that knows of it; boxes enforce an announced change together with the present
+ * table until it is settled.
  */
 export function resolveFreshness(state: TableState, now: Milliseconds): Freshness {
   if (state.confirmedAt !== undefined && now - state.confirmedAt <= state.limits.freshFor) {
@@ -18,13 +20,16 @@
   return isVouched(state, now) ? 'vouched' : 'stale'
 }
 
-/** Whether this box has not heard from the store for long enough to call it out. */
+/** Whether the store has not answered this box for longer than `storeOutAfter`. */
 export function isStoreOut(state: TableState, now: Milliseconds): boolean {
-  const heard = state.storeReadAt ?? state.startedAt
-  return now - heard > state.limits.storeOutAfter
+  const lastRead = state.storeReadAt ?? state.startedAt
+  return now - lastRead > state.limits.storeOutAfter
 }
 
-/** The voter sets of which each must give a majority: the one that stands and those that may be about to. */
+/**
+ * The voter sets that must each give a majority: the current one and those proposed with a later
+ * epoch.
+ */
 export function relevantVoterSets(state: TableState): VoterSet[] {
   const open = [...state.open.values()].flatMap(({ content }) =>
     content.kind === 'voters' && content.set.epoch > (state.voters?.epoch ?? 0)
@@ -38,13 +43,13 @@
   if (!state.voters || !isStoreOut(state, now)) return false
   if (state.table.revision < state.floor) return false
   return relevantVoterSets(state).every(set =>
-    hasMajority(set, voter => vouches(state, voter, now)),
+    hasMajority(set, voter => isVouching(state, voter, now)),
   )
 }
 
-function vouches(state: TableState, voter: VoterId, now: Milliseconds): boolean {
+function isVouching(state: TableState, voter: VoterId, now: Milliseconds): boolean {
   if (voter === state.self) return true
-  const word = state.peers.get(voter)
-  if (!word || !word.storeOut) return false
-  return now - word.asOf <= state.limits.peerWordFor && word.revision <= state.table.revision
+  const report = state.peers.get(voter)
+  if (!report || !report.storeOut) return false
+  return now - report.asOf <= state.limits.peerWordFor && report.revision <= state.table.revision
 }
--- a/packages/decisions/src/freshness/tableController.ts
+++ b/packages/decisions/src/freshness/tableController.ts
@@ -17,29 +17,32 @@
 
 const HANDLERS: HandlerTable<TableState, TableMessage, TableEffect> = {
   propose: startProposal,
-  announcement: hearAnnouncement,
-  'announcement-heard': countAnnouncement,
-  'commit-answered': finishProposal,
+  announcement: acknowledgeAnnouncement,
+  'announcement-heard': recordAcknowledgement,
+  'commit-answered': handleCommitOutcome,
   settled: settleProposal,
-  'store-read': takeStoreRead,
-  'changes-heard': takeChanges,
-  'table-heard': takeTable,
-  'peer-word': takePeerWord,
-  'voter-gone': forgetVoter,
-  tick: watchProposals,
+  'store-read': applyStoreRead,
+  'changes-heard': applyReceivedChanges,
+  'table-heard': applyReceivedTable,
+  'peer-word': recordPeerReport,
+  'voter-gone': removeVoter,
+  tick: checkProposalTimeouts,
 }
 
-/** Decides which table a box holds, how sure it is of it, and how a change becomes accepted. */
+/**
+ * Replicates the table to one box: which revision it holds, when that was last confirmed, and how
+ * proposed changes are announced, committed and settled.
+ */
 export const tableTransition = createTransition(HANDLERS)
 
-/** The tables that a request must satisfy: the copy, and the copy as each open change would leave it. */
+/** The tables that a request must satisfy: the copy, and the copy with each open change applied. */
 export function resolveTablesInDoubt(state: TableState): Table[] {
-  const doubtful = [...state.open.values()].flatMap(({ content }) =>
+  const withOpenChange = [...state.open.values()].flatMap(({ content }) =>
     content.kind === 'change'
       ? [applyChange(state.table, content.change, state.table.revision)]
       : [],
   )
-  return [state.table, ...doubtful]
+  return [state.table, ...withOpenChange]
 }
 
 function startProposal(
@@ -56,10 +59,10 @@
   }
   state.own.set(proposal.id, own)
   state.open.set(proposal.id, { ...proposal, heardAt: now })
-  return [{ type: 'announce', proposal }, ...commitWhenAnnounced(state, own)]
+  return [{ type: 'announce', proposal }, ...commitAfterMajority(state, own)]
 }
 
-function hearAnnouncement(
+function acknowledgeAnnouncement(
   state: TableState,
   { from, proposal }: Of<'announcement'>,
   now: Milliseconds,
@@ -68,32 +71,40 @@
   return [{ type: 'confirm-announcement', to: from, id: proposal.id }]
 }
 
-function countAnnouncement(state: TableState, { id, by }: Of<'announcement-heard'>): TableEffect[] {
+function recordAcknowledgement(
+  state: TableState,
+  { id, by }: Of<'announcement-heard'>,
+): TableEffect[] {
   const own = state.own.get(id)
   if (!own || own.step !== 'announcing') return []
   own.announcedTo.add(by)
-  return commitWhenAnnounced(state, own)
+  return commitAfterMajority(state, own)
 }
 
-/** The store is written to only when a majority of each relevant set knows what may come. */
-function commitWhenAnnounced(state: TableState, own: OwnProposal): TableEffect[] {
-  const others = relevantVoterSets(state).filter(set => !isOwnSet(own.proposal, set))
-  const known = others.every(set =>
+/**
+ * Commits once a majority of each relevant voter set has acknowledged the announcement or is gone.
+ */
+function commitAfterMajority(state: TableState, own: OwnProposal): TableEffect[] {
+  const others = relevantVoterSets(state).filter(set => !proposesSet(own.proposal, set))
+  const isAcknowledged = others.every(set =>
     hasMajority(set, voter => own.announcedTo.has(voter) || state.gone.has(voter)),
   )
-  if (!known) return []
+  if (!isAcknowledged) return []
   own.step = 'committing'
   return [{ type: 'commit', proposal: own.proposal }]
 }
 
-function isOwnSet(proposal: Proposal, set: VoterSet): boolean {
+function proposesSet(proposal: Proposal, set: VoterSet): boolean {
   return proposal.content.kind === 'voters' && proposal.content.set === set
 }
 
-function finishProposal(state: TableState, { id, outcome }: Of<'commit-answered'>): TableEffect[] {
+function handleCommitOutcome(
+  state: TableState,
+  { id, outcome }: Of<'commit-answered'>,
+): TableEffect[] {
   if (!state.own.delete(id)) return []
   const answer: TableEffect = { type: 'answer', id, outcome }
-  // While nobody knows whether the write took effect, the proposal stays open everywhere.
+  // The write may or may not have been applied, so the proposal stays open on all boxes.
   if (outcome.outcome === 'pending') return [answer]
   const settled =
     outcome.outcome === 'accepted'
@@ -118,14 +129,16 @@
   }
   if (open.content.kind === 'voters') {
     state.open.delete(id)
-    takeVoters(state, open.content.set)
+    adoptVoterSet(state, open.content.set)
     return []
   }
-  return takeAccepted(state, open, open.content.change, revision ?? state.table.revision + 1)
+  return applyAcceptedChange(state, open, open.content.change, revision ?? state.table.revision + 1)
 }
 
-/** Applies the next revision at once; a later one stays open, and so honoured, until the copy holds it. */
-function takeAccepted(
+/**
+ * Applies the next revision; a later one stays open, and so enforced, until the copy contains it.
+ */
+function applyAcceptedChange(
   state: TableState,
   open: OpenProposal,
   change: TableChange,
@@ -141,23 +154,26 @@
   return replaceTable(state, applyChange(state.table, change, revision))
 }
 
-function takeStoreRead(
+function applyStoreRead(
   state: TableState,
   { startedAt, table, voters }: Of<'store-read'>,
 ): TableEffect[] {
   state.storeReadAt = Math.max(state.storeReadAt ?? startedAt, startedAt)
   if (table.revision < Math.max(state.floor, state.table.revision)) {
-    return noteStoreWentBack(state, startedAt, table.revision)
+    return reportStoreRegression(state, startedAt, table.revision)
   }
   state.storeWentBack = false
-  takeVoters(state, voters)
+  adoptVoterSet(state, voters)
   const effects = replaceTable(state, table)
   confirm(state, startedAt)
   return effects
 }
 
-/** A late answer may show an older revision; one that was asked for after the newest was confirmed may not. */
-function noteStoreWentBack(
+/**
+ * Reports a revision rollback of the store. Reads sent before the last confirmation may be older
+ * and are ignored.
+ */
+function reportStoreRegression(
   state: TableState,
   startedAt: Milliseconds,
   shown: number,
@@ -168,7 +184,7 @@
   return [{ type: 'store-went-back', floor: Math.max(state.floor, state.table.revision), shown }]
 }
 
-function takeChanges(state: TableState, { changes }: Of<'changes-heard'>): TableEffect[] {
+function applyReceivedChanges(state: TableState, { changes }: Of<'changes-heard'>): TableEffect[] {
   const inOrder = changes.toSorted((left, right) => left.revision - right.revision)
   let table = state.table
   for (const change of inOrder) {
@@ -177,62 +193,69 @@
     const open = state.open.get(change.changeId)
     if (open) open.acceptedRevision = change.revision
   }
-  closeHeld(state, table)
+  closeAppliedProposals(state, table)
   return replaceTable(state, table)
 }
 
-/** A change that the copy holds is no longer in doubt. */
-function closeHeld(state: TableState, table: Table): void {
+/** Closes accepted proposals that `table` contains. */
+function closeAppliedProposals(state: TableState, table: Table): void {
   for (const [id, open] of state.open) {
     if ((open.acceptedRevision ?? Infinity) <= table.revision) state.open.delete(id)
   }
 }
 
-function takeTable(state: TableState, { table, voters }: Of<'table-heard'>): TableEffect[] {
-  takeVoters(state, voters)
+function applyReceivedTable(
+  state: TableState,
+  { table, voters }: Of<'table-heard'>,
+): TableEffect[] {
+  adoptVoterSet(state, voters)
   if (table.revision <= state.table.revision) return []
   return replaceTable(state, table)
 }
 
-function takePeerWord(
+function recordPeerReport(
   state: TableState,
-  { from, word, open, voters }: Of<'peer-word'>,
+  { from, word: report, open, voters }: Of<'peer-word'>,
   now: Milliseconds,
 ): TableEffect[] {
   const known = state.peers.get(from)
-  if (known && known.asOf > word.asOf) return []
-  state.peers.set(from, word)
-  takeVoters(state, voters)
+  if (known && known.asOf > report.asOf) return []
+  state.peers.set(from, report)
+  adoptVoterSet(state, voters)
   for (const proposal of open) openProposal(state, proposal, now)
-  state.floor = Math.max(state.floor, word.revision)
-  if (word.revision > state.table.revision) {
+  state.floor = Math.max(state.floor, report.revision)
+  if (report.revision > state.table.revision) {
     return [{ type: 'fetch-table', from, above: state.table.revision }]
   }
-  confirmFromPeer(state, word)
+  confirmFromPeer(state, report)
   return []
 }
 
-function confirmFromPeer(state: TableState, word: PeerWord): void {
-  if (word.revision !== state.table.revision || word.confirmedAt === undefined) return
-  confirm(state, word.confirmedAt)
+function confirmFromPeer(state: TableState, report: PeerWord): void {
+  if (report.revision !== state.table.revision || report.confirmedAt === undefined) return
+  confirm(state, report.confirmedAt)
 }
 
-function forgetVoter(state: TableState, { voter }: Of<'voter-gone'>): TableEffect[] {
+function removeVoter(state: TableState, { voter }: Of<'voter-gone'>): TableEffect[] {
   state.gone.add(voter)
   state.peers.delete(voter)
   return [...state.own.values()]
     .filter(own => own.step === 'announcing')
-    .flatMap(own => commitWhenAnnounced(state, own))
+    .flatMap(own => commitAfterMajority(state, own))
 }
 
-function watchProposals(state: TableState, _message: Of<'tick'>, now: Milliseconds): TableEffect[] {
+function checkProposalTimeouts(
+  state: TableState,
+  _message: Of<'tick'>,
+  now: Milliseconds,
+): TableEffect[] {
   const effects: TableEffect[] = []
   for (const [id, own] of state.own) {
     if (own.step !== 'announcing' || now - own.startedAt <= state.limits.announceFor) continue
     const message =
       'no majority of the boxes could be told of the change, so it was not written; try again when they can be reached'
     effects.push(
-      ...finishProposal(state, {
+      ...handleCommitOutcome(state, {
         type: 'commit-answered',
         id,
         outcome: { outcome: 'refused', message },
@@ -257,7 +280,7 @@
   return content.kind === 'voters' && content.set.epoch <= (state.voters?.epoch ?? 0)
 }
 
-function takeVoters(state: TableState, voters: VoterSet | undefined): void {
+function adoptVoterSet(state: TableState, voters: VoterSet | undefined): void {
   if (!voters || voters.epoch <= (state.voters?.epoch ?? 0)) return
   state.voters = voters
   for (const [id, open] of state.open) {
@@ -269,10 +292,10 @@
   if (table.revision <= state.table.revision) return []
   state.table = table
   state.floor = Math.max(state.floor, table.revision)
-  closeHeld(state, table)
-  // The evidence was for the older copy.
+  closeAppliedProposals(state, table)
+  // The confirmation was for the previous revision.
   delete state.confirmedAt
-  for (const word of state.peers.values()) confirmFromPeer(state, word)
+  for (const report of state.peers.values()) confirmFromPeer(state, report)
   return [{ type: 'table-changed', table }]
 }
 
--- a/packages/decisions/src/freshness/tableState.ts
+++ b/packages/decisions/src/freshness/tableState.ts
@@ -3,17 +3,20 @@
 import { EMPTY_TABLE, type AcceptedChange, type Table, type TableChange } from '../table/table.js'
 import type { ChangeOutcome } from '../table/acceptChange.js'
 
-/** Limits of the rule that says whether a box may serve with its copy of the table. */
+/** Time limits for serving with the local copy of the table, and for proposals. */
 export interface FreshnessLimits {
-  /** How old the evidence may be that the copy is the store's newest. Bounds how late a change is in force. */
+  /**
+   * Maximum age of a confirmation that the copy is the store's newest. Bounds the delay until a
+   * change is enforced.
+   */
   freshFor: Milliseconds
-  /** How old a peer's word may be when a majority vouches for the table while the store is out. */
+  /** Maximum age of a peer report that counts towards a vouching majority. */
   peerWordFor: Milliseconds
-  /** How long the store must not have answered before a box calls it out. */
+  /** Time without an answer after which the store counts as unavailable. */
   storeOutAfter: Milliseconds
-  /** How long an announced proposal may stay open before a box with the store at hand settles it. */
+  /** Time after which another box that reaches the store settles an open proposal. */
   settleAfter: Milliseconds
-  /** How long a proposer waits for its majority. */
+  /** Time that a proposer waits for a majority of acknowledgements. */
   announceFor: Milliseconds
 }
 
@@ -25,7 +28,7 @@
   announceFor: 1_500,
 }
 
-/** What a proposal would bring into force. */
+/** The change that a proposal makes: to the table or to the voter set. */
 export type ProposalContent =
   { kind: 'change'; change: TableChange } | { kind: 'voters'; set: VoterSet }
 
@@ -34,52 +37,60 @@
   content: ProposalContent
 }
 
-/** A proposal that some box may have written or may still write. Until it is settled both outcomes are honoured. */
+/**
+ * An announced proposal that may or may not be committed. Both outcomes are enforced until it is
+ * settled.
+ */
 export interface OpenProposal extends Proposal {
+  /** When it was announced to this box, or last sent for settling. */
   heardAt: Milliseconds
-  /** Set once the change is known to be accepted while the copy does not hold it yet. */
+  /** Set once the change is known to be accepted and the copy does not contain it yet. */
   acceptedRevision?: number
 }
 
-/** A proposal of this box that waits for a majority or for the store. */
+/** A proposal of this box that awaits a majority of acknowledgements or the store's commit. */
 export interface OwnProposal {
   proposal: Proposal
   startedAt: Milliseconds
   step: 'announcing' | 'committing'
+  /** Voters that have acknowledged the announcement, this box included. */
   announcedTo: Set<VoterId>
 }
 
-/** What a peer said, on this box's clock. */
+/** Latest report of a peer. Instants are on this box's clock. */
 export interface PeerWord {
-  /** An instant before which the peer cannot have spoken. */
+  /** Earliest instant at which the peer can have sent it. */
   asOf: Milliseconds
   revision: number
-  /** When the peer's copy was known to be the store's newest. */
+  /** When the peer's copy was last confirmed to be the store's newest. */
   confirmedAt?: Milliseconds
+  /** Whether the store is unavailable to the peer. */
   storeOut: boolean
 }
 
-/** Everything that decides which table a box serves by. */
+/** State of the table on one box. */
 export interface TableState {
   self: VoterId
   limits: FreshnessLimits
   table: Table
-  /** An instant at which the store's newest revision was this copy's. */
+  /** Latest instant at which the copy was known to be the store's newest. */
   confirmedAt?: Milliseconds
-  /** When the last read that the store answered was started. */
+  /** When the last read that the store answered was sent. */
   storeReadAt?: Milliseconds
-  /** When this box began to ask the store. */
+  /** When this box started to read the store. */
   startedAt: Milliseconds
-  /** The highest revision known to exist. The copy never goes below it once it has reached it. */
+  /** Highest revision known to exist. The copy never goes back below it. */
   floor: number
-  /** True when the store showed an older revision than one known to be accepted. */
+  /** Whether the store has returned a revision older than one known to be accepted. */
   storeWentBack: boolean
   peers: Map<VoterId, PeerWord>
-  /** The newest voter set known to stand, if any. */
+  /** The current voter set, if any: the one with the highest known epoch. */
   voters?: VoterSet
+  /** Proposals of any box that are not settled, by id. */
   open: Map<string, OpenProposal>
+  /** Proposals of this box without an outcome, by id. */
   own: Map<string, OwnProposal>
-  /** Earlier incarnations and boxes known not to run any more; they need not be asked. */
+  /** Stopped voters: earlier incarnations and removed boxes. They need not acknowledge. */
   gone: Set<VoterId>
 }
 
@@ -92,7 +103,7 @@
   | {
       type: 'store-read'
       startedAt: Milliseconds
-      /** The newest table in the store; the box's own copy when the head has not moved. */
+      /** The newest table in the store; the box's own copy if the revision is unchanged. */
       table: Table
       voters?: VoterSet
     }
--- a/packages/decisions/src/leases/lease.ts
+++ b/packages/decisions/src/leases/lease.ts
@@ -1,23 +1,27 @@
 /**
- * A lease on a piece of work that one box does for all, kept as one row of the store. Nobody compares clocks:
- * a box that sees the row unchanged for long enough on its own clock takes it, and the fence grows with each
- * taking. The holder counts from before it asked for the renewal, so it gives up before others may take over;
- * a holder that was paused finds its lease lapsed when it wakes, and what it still has under way carries an
- * old fence.
+ * A lease, stored as one row, that makes one box the leader for a task. Clocks of boxes are not
+ * compared: a box acquires the lease once it has seen the row unchanged for `lapseAfter` on its own
+ * clock, and each acquisition increments the fencing token. The holder counts `holdFor` from before
+ * it sent the renewal, so its lease expires before another box may acquire it. After a pause the
+ * holder sees that its lease has expired, and writes still in flight carry an outdated fencing
+ * token.
  */
 import type { Milliseconds } from '../types/clock.js'
 import { createTransition, type HandlerTable, type MessageOf } from '../types/transition.js'
 
 export interface LeaseRow {
   holder: string
+  /** Fencing token; incremented by each acquisition. */
   fence: number
   renewals: number
 }
 
 export interface LeaseLimits {
-  /** How long a holder may act after it asked for its last renewal. */
+  /** Time that a holder may act after it sent its last renewal. */
   holdFor: Milliseconds
-  /** How long a row must stand unchanged before another box takes it. Longer than `holdFor`. */
+  /**
+   * Time that a row must be unchanged before another box acquires the lease. Longer than `holdFor`.
+   */
   lapseAfter: Milliseconds
   renewEvery: Milliseconds
 }
@@ -31,10 +35,11 @@
 export interface LeaseState {
   self: string
   limits: LeaseLimits
-  /** The row as last seen, and when it was first seen so. */
+  /** The row as last read, and when this version was first read. */
   seen?: { row?: LeaseRow; version: number; since: Milliseconds }
   /** Set while this box holds the lease. */
   held?: { fence: number; askedAt: Milliseconds }
+  /** Whether a read or write of the row is in flight. */
   asking: boolean
 }
 
@@ -56,10 +61,10 @@
 type Of<Type extends LeaseMessage['type']> = MessageOf<LeaseMessage, Type>
 
 const HANDLERS: HandlerTable<LeaseState, LeaseMessage, LeaseEffect> = {
-  tick: renewOrWatch,
-  'row-read': seeRow,
-  'read-failed': askAgainLater,
-  'write-answered': takeAnswer,
+  tick: requestRow,
+  'row-read': handleRow,
+  'read-failed': handleReadFailure,
+  'write-answered': handleWriteOutcome,
 }
 
 export function createLeaseState(
@@ -69,28 +74,28 @@
   return { self, limits, asking: false }
 }
 
-/** Decides when to ask for the lease, and whether this box holds it. */
+/** Acquires, renews and expires the lease. */
 export const leaseTransition = createTransition(HANDLERS)
 
-/** The fence under which this box may act now, if it holds the lease. */
+/** The fencing token under which this box may act now; undefined without a valid lease. */
 export function heldFence(state: LeaseState, now: Milliseconds): number | undefined {
   if (!state.held) return undefined
   return now - state.held.askedAt <= state.limits.holdFor ? state.held.fence : undefined
 }
 
-function renewOrWatch(state: LeaseState, _message: Of<'tick'>, now: Milliseconds): LeaseEffect[] {
+function requestRow(state: LeaseState, _message: Of<'tick'>, now: Milliseconds): LeaseEffect[] {
   if (state.held && heldFence(state, now) === undefined) delete state.held
   if (state.asking) return []
   state.asking = true
   return [{ type: 'read-row' }]
 }
 
-function askAgainLater(state: LeaseState): LeaseEffect[] {
+function handleReadFailure(state: LeaseState): LeaseEffect[] {
   state.asking = false
   return []
 }
 
-function seeRow(
+function handleRow(
   state: LeaseState,
   { row, version }: Of<'row-read'>,
   now: Milliseconds,
@@ -99,12 +104,12 @@
   if (state.seen?.version !== version) state.seen = { ...(row && { row }), version, since: now }
   if (row && state.held && row.holder === state.self && row.fence === state.held.fence) {
     if (now - state.held.askedAt < state.limits.renewEvery) return []
-    return write(state, { ...row, renewals: row.renewals + 1 }, version, now)
+    return requestWrite(state, { ...row, renewals: row.renewals + 1 }, version, now)
   }
   delete state.held
-  const isFree = !row || now - state.seen.since >= state.limits.lapseAfter
-  if (!isFree) return []
-  return write(
+  const isAvailable = !row || now - state.seen.since >= state.limits.lapseAfter
+  if (!isAvailable) return []
+  return requestWrite(
     state,
     { holder: state.self, fence: (row?.fence ?? 0) + 1, renewals: 0 },
     version,
@@ -112,7 +117,7 @@
   )
 }
 
-function write(
+function requestWrite(
   state: LeaseState,
   row: LeaseRow,
   version: number,
@@ -122,12 +127,12 @@
   return [{ type: 'write-row', row, version, askedAt: now }]
 }
 
-function takeAnswer(
+function handleWriteOutcome(
   state: LeaseState,
   { askedAt, row, outcome }: Of<'write-answered'>,
 ): LeaseEffect[] {
   state.asking = false
-  // A lost answer counts as a failure: the row shows whose it is at the next read, and after it lapses.
+  // An unknown outcome counts as failed, so this box acts only after a later acquisition.
   if (outcome === 'committed') state.held = { fence: row.fence, askedAt }
   return []
 }
--- a/packages/decisions/src/membership/drain.ts
+++ b/packages/decisions/src/membership/drain.ts
@@ -1,7 +1,7 @@
 /**
- * A planned stop. The box first stops giving its address to callers, goes on serving until every caller's
- * kept address has run out, then refuses new requests, waits for what is in flight, hands its bills to the
- * store, and only then ends.
+ * Graceful shutdown of a box: it removes its address from the list, serves until callers' cached
+ * addresses have expired, refuses new requests, waits for those in flight, writes its bills to the
+ * store, and stops.
  */
 import type { Milliseconds } from '../types/clock.js'
 
@@ -9,9 +9,9 @@
 
 export interface DrainState {
   step: DrainStep
-  /** How long callers keep an address. */
+  /** Time that callers cache an address. */
   addressLifetime: Milliseconds
-  leftListAt?: Milliseconds
+  unlistedAt?: Milliseconds
   inFlight: number
   unwrittenBills: number
 }
@@ -29,7 +29,7 @@
   return { step: 'serving', addressLifetime, inFlight: 0, unwrittenBills: 0 }
 }
 
-/** Whether a new request may still start. */
+/** Whether new requests are accepted. */
 export function takesNewRequests(state: DrainState): boolean {
   return state.step === 'serving' || state.step === 'unlisted'
 }
@@ -37,7 +37,7 @@
 const ADVANCE: Record<DrainStep, (state: DrainState, now: Milliseconds) => DrainEffect[]> = {
   serving: () => [],
   unlisted(state, now) {
-    if (now - (state.leftListAt ?? now) < state.addressLifetime) return []
+    if (now - (state.unlistedAt ?? now) < state.addressLifetime) return []
     state.step = 'finishing'
     return [{ type: 'refuse-new' }]
   },
@@ -63,7 +63,7 @@
   if (message.type === 'unwritten-bills') state.unwrittenBills = message.count
   if (message.type === 'stop-asked' && state.step === 'serving') {
     state.step = 'unlisted'
-    state.leftListAt = now
+    state.unlistedAt = now
     return [{ type: 'leave-list' }]
   }
   return ADVANCE[state.step](state, now)
--- a/packages/decisions/src/membership/voters.ts
+++ b/packages/decisions/src/membership/voters.ts
@@ -1,10 +1,10 @@
 /**
- * One incarnation of a box, `box/incarnation`. A restarted box is another voter than before, because it has
- * forgotten what it was told.
+ * One incarnation of a box, `box/incarnation`. A restart makes a new voter, since the old state is
+ * lost.
  */
 export type VoterId = string
 
-/** The boxes whose majority can vouch for the table while the store is out. Kept in the store. */
+/** The boxes whose majority can vouch for the table while the store is unavailable. Stored. */
 export interface VoterSet {
   epoch: number
   voters: VoterId[]
@@ -20,13 +20,15 @@
   return voter.slice(0, voter.lastIndexOf('/'))
 }
 
-/** Whether more than half of the set satisfies `counts`. An empty set has no majority. */
-export function hasMajority(set: VoterSet, counts: (voter: VoterId) => boolean): boolean {
-  const agreeing = set.voters.filter(counts).length
-  return agreeing * 2 > set.voters.length
+/** Whether more than half of the set satisfies `isCounted`. An empty set has no majority. */
+export function hasMajority(set: VoterSet, isCounted: (voter: VoterId) => boolean): boolean {
+  const count = set.voters.filter(isCounted).length
+  return count * 2 > set.voters.length
 }
 
-/** The set in which `joining` stands for all earlier incarnations of its box, and `gone` are left out. */
+/**
+ * The next epoch's set: `joining` replaces earlier incarnations of its box, and `gone` are removed.
+ */
 export function nextVoterSet(
   current: VoterSet | undefined,
   joining: VoterId | undefined,
--- a/packages/decisions/src/node/manualClock.ts
+++ b/packages/decisions/src/node/manualClock.ts
@@ -7,11 +7,14 @@
   cancelled: boolean
 }
 
-/** A clock that its owner moves. Timers fire in order, each only after all that the last one set off has run. */
+/**
+ * A clock for tests that is advanced by hand. Timers fire in order, each after the promises of the
+ * last have settled.
+ */
 export class ManualClock implements Clock {
   #now = 0
   #order = 0
-  /** A heap by time, then by order. */
+  /** Binary heap by time, then by creation order. */
   readonly #heap: PendingTimer[] = []
 
   constructor(readonly epoch: Milliseconds = Date.UTC(2026, 0, 1)) {}
@@ -35,10 +38,10 @@
     return { cancel: () => (timer.cancelled = true) }
   }
 
-  /** Moves time on by `span`, firing what falls due. */
+  /** Advances time by `span`, fires due timers and lets promises settle between them. */
   async advance(span: Milliseconds): Promise<void> {
     const end = this.#now + span
-    await settled()
+    await flushPromises()
     for (;;) {
       const next = this.#heap[0]
       if (!next || next.at > end) break
@@ -46,20 +49,20 @@
       if (next.cancelled) continue
       this.#now = Math.max(this.#now, next.at)
       next.callback()
-      await settled()
+      await flushPromises()
     }
     this.#now = end
   }
 
   /**
-   * Time goes on by `span` and nothing runs, as for a machine that is suspended. What fell due meanwhile fires late, with the next
-   * move: whatever is called before that comes first.
+   * Advances time by `span` without firing timers, like a suspended machine. Due timers fire with
+   * the next advance.
    */
   suspend(span: Milliseconds): void {
     this.#now += span
   }
 
-  /** Moves time on without awaiting, for code that uses timers alone. */
+  /** Advances time synchronously: fires due timers without letting promises settle. */
   advanceSync(span: Milliseconds): void {
     const end = this.#now + span
     for (let next = this.#heap[0]; next && next.at <= end; next = this.#heap[0]) {
@@ -111,7 +114,7 @@
   heap[right] = kept
 }
 
-/** All promises that can go on without time or input have done so. */
-function settled(): Promise<void> {
+/** Resolves after all pending microtasks have run. */
+function flushPromises(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve))
 }
--- a/packages/decisions/src/node/systemClock.ts
+++ b/packages/decisions/src/node/systemClock.ts
@@ -1,18 +1,18 @@
 import type { Clock, Milliseconds, Timer } from '../types/clock.js'
 import { createBootTime, type ReadBootTime } from './bootTime.js'
 
-/** The time of day moves against the steady clock by less than this unless somebody sets it, or the machine is suspended. */
+/** Drift of wall time against monotonic time; more means a suspension or a clock change. */
 const DRIFT_TOLERANCE: Milliseconds = 20
-/** What is shorter is no suspension: the sources are read one after the other. */
-const LEAST_SUSPENSION: Milliseconds = 20
-/** A suspension that a change of the time of day at the same moment has hidden is found within this. */
-const LOOK_EVERY: Milliseconds = 250
+/** Shorter differences are read skew between the sources. */
+const MINIMUM_SUSPENSION: Milliseconds = 20
+/** Bounds the detection of a suspension that a simultaneous change of the wall time masks. */
+const BOOT_TIME_CHECK_INTERVAL: Milliseconds = 250
 
-/** What the clock is made of. */
+/** Time sources that the clock combines. */
 export interface ClockSources {
-  /** Stands still while the machine is suspended. */
+  /** Monotonic time, which stops while the machine is suspended. */
   steady(): Milliseconds
-  /** May be set by somebody at any moment. */
+  /** Wall time, which may be changed at any moment. */
   timeOfDay(): Milliseconds
   bootTime: ReadBootTime
 }
@@ -24,43 +24,43 @@
 }
 
 /**
- * The clock of the machine. The only place that reads it.
+ * The clock of the machine, and the only code that reads it.
  *
- * It is the runtime's steady clock and the time for which the machine was suspended: the first stands still meanwhile, so that a key
- * that was taken away, a lease or a deadline would last longer by that. The boot clock, which goes on, is asked when the
- * time of day has moved against the steady clock, so that the first look after a wake sees it, and four times a second; asking it
- * at each look would cost each request some 50 µs.
+ * Adds the time suspended to the runtime's monotonic clock, which stops during a suspension;
+ * leases, deadlines and revoked keys would otherwise stay valid for too long. Reading the boot time
+ * on every call would be too slow, so it is read when the wall time has moved against the monotonic
+ * time, and at a fixed interval.
  * @default sources: those of the machine
  */
 export function createSystemClock(sources: ClockSources = systemSources()): Clock {
   const { steady, timeOfDay, bootTime } = sources
   const timers = new Set<PendingTimer>()
-  let lookedAt = steady()
-  let drift = timeOfDay() - lookedAt
-  const offset = bootTime() - lookedAt
+  let checkedAt = steady()
+  let drift = timeOfDay() - checkedAt
+  const offset = bootTime() - checkedAt
   let suspended: Milliseconds = 0
 
   function now(): Milliseconds {
     const steadyNow = steady()
     const driftNow = timeOfDay() - steadyNow
-    const isMoved = Math.abs(driftNow - drift) > DRIFT_TOLERANCE
-    if (isMoved || steadyNow - lookedAt > LOOK_EVERY) {
+    const hasDrifted = Math.abs(driftNow - drift) > DRIFT_TOLERANCE
+    if (hasDrifted || steadyNow - checkedAt > BOOT_TIME_CHECK_INTERVAL) {
       drift = driftNow
-      lookedAt = steadyNow
-      look(steadyNow)
+      checkedAt = steadyNow
+      checkBootTime(steadyNow)
     }
     return steadyNow + suspended
   }
 
-  function look(steadyNow: Milliseconds): void {
-    const seen = bootTime() - steadyNow - offset
-    if (seen < suspended + LEAST_SUSPENSION) return
-    suspended = seen
-    armAnew(steadyNow + suspended)
+  function checkBootTime(steadyNow: Milliseconds): void {
+    const measured = bootTime() - steadyNow - offset
+    if (measured < suspended + MINIMUM_SUSPENSION) return
+    suspended = measured
+    rearmTimers(steadyNow + suspended)
   }
 
-  /** The runtime's own timers would wait for the time of the suspension once more. */
-  function armAnew(from: Milliseconds): void {
+  /** Restarts all timers, since the runtime's timers don't count the time suspended. */
+  function rearmTimers(from: Milliseconds): void {
     const pending = [...timers].sort((left, right) => left.at - right.at)
     for (const timer of pending) {
       clearTimeout(timer.handle)
--- a/packages/decisions/src/rollouts/admittedVersions.ts
+++ b/packages/decisions/src/rollouts/admittedVersions.ts
@@ -1,41 +1,47 @@
 import { hashText } from '../utils/rendezvousHash.js'
 import type { Random } from '../types/random.js'
 
-/** How a service's versions share its requests now. */
-export interface VersionShares {
-  /** The version that is rolled out, or that was rolled back. */
+/** Current traffic split between the versions of a service. */
+export interface TrafficSplit {
+  /** The version being rolled out, or rolled back. */
   target: string
-  /** Share of requests that go to it, 0 to 1. */
+  /** Share of requests that go to the target, 0 to 1. */
   share: number
+  /** Whether requests with a session stay away from the target. */
   keepsSessions: boolean
 }
 
 export interface VersionRequest {
-  /** Requests of one session stay together. */
+  /** Requests of one session go to the same version. */
   session?: string
 }
 
 const BUCKETS = 10_000
 
-/** Whether a request goes to the target. Sessions are dealt by their name, alike on every box. */
+/**
+ * Whether a request goes to the target. Sessions are assigned by hash, identically on every box.
+ */
 export function goesToTarget(
-  shares: VersionShares,
+  split: TrafficSplit,
   { session }: VersionRequest,
   random: Random,
 ): boolean {
-  if (shares.share <= 0) return false
-  if (shares.share >= 1) return true
-  if (session === undefined) return random() < shares.share
-  if (shares.keepsSessions) return false
-  return hashText(session) % BUCKETS < shares.share * BUCKETS
+  if (split.share <= 0) return false
+  if (split.share >= 1) return true
+  if (session === undefined) return random() < split.share
+  if (split.keepsSessions) return false
+  return hashText(session) % BUCKETS < split.share * BUCKETS
 }
 
-/** Where nothing else is left a version that was rolled back serves rather than none. */
+/**
+ * Adds the exclusion of rejected versions to `admits`, unless that would exclude every ready
+ * version: serving a rolled-back version is better than serving none.
+ */
 export function withoutRejected(
   rejected: readonly string[],
   admits: (version: string) => boolean,
   ready: Iterable<string>,
 ): (version: string) => boolean {
-  const isSound = (version: string) => admits(version) && !rejected.includes(version)
-  return [...ready].some(isSound) ? isSound : admits
+  const isAllowed = (version: string) => admits(version) && !rejected.includes(version)
+  return [...ready].some(isAllowed) ? isAllowed : admits
 }
--- a/packages/decisions/src/rollouts/rollout.ts
+++ b/packages/decisions/src/rollouts/rollout.ts
@@ -1,41 +1,44 @@
 import type { Milliseconds } from '../types/clock.js'
 
-/** An operator's order to move a service's traffic to another version. */
+/** An operator's order to roll out a version: to move a service's traffic to it. */
 export interface RolloutOrder {
   service: string
   target: string
-  /** How long the move may take. */
+  /** Time in which the rollout is to be completed. */
   duration: Milliseconds
-  /** Of the row that holds the order: a later order has a higher one. */
+  /** Store revision of the order's row; a later order has a higher one. */
   revision: number
 }
 
 export type RolloutState = 'active' | 'completed' | 'rolled-back'
 
-/** How far a roll-out has come, as all boxes read it. */
+/** Progress of a rollout, as stored and read by all boxes. */
 export interface RolloutStatus {
   service: string
   target: string
   state: RolloutState
   /** When the order was first read, on the store's clock. */
   startedAt: Milliseconds
-  /** Versions that earlier roll-outs of the service rolled back. Their upstreams serve for some seconds more. */
+  /**
+   * Versions that earlier rollouts of the service rolled back; their upstreams may stay listed for
+   * some seconds.
+   */
   rejected?: readonly string[]
-  /** Of the row that holds the status; a writer names the one that it has seen. */
+  /** Store revision of the status row, for compare-and-swap. */
   revision: number
 }
 
-/** Whether the status answers this order and not an earlier one. */
+/** Whether the status belongs to this order, not to an earlier one. */
 export function isOf(status: RolloutStatus | undefined, order: RolloutOrder): boolean {
   return status !== undefined && status.target === order.target && status.revision > order.revision
 }
 
-/** Whether the roll-out has come to its end, either way. */
+/** Whether the rollout was completed or rolled back. */
 export function isOver(order: RolloutOrder, status: RolloutStatus | undefined): boolean {
   return status !== undefined && isOf(status, order) && status.state !== 'active'
 }
 
-/** Versions that may serve no more, whatever is ordered next: those that were rolled back, and were not ordered again. */
+/** Versions that were rolled back and not ordered again; they must not serve. */
 export function rejectedVersions(
   status: RolloutStatus | undefined,
   order?: RolloutOrder,
@@ -48,65 +51,76 @@
   return [...new Set(rejected)].filter(version => version !== order?.target)
 }
 
-/** Sessions may move between versions only past half of the time; a little later on every box's clock. */
-const TRIAL_FROM = 0.52
-/** Part of the trial's share before that, when only callers without sessions may be moved. */
-const EARLY_PART = 0.1
-/** What the first half takes less than if all of it were trial. */
-const TRIAL_LESS = TRIAL_FROM * (1 - EARLY_PART)
-/** However much the operators allow. More is not needed to judge a version, and would be many callers of a bad one. */
-const MOST_TRIAL_SHARE = 0.2
-/** However short the time is. */
-const LEAST_TRIAL_SHARE = 0.01
-/** Part of the time in which the share grows from that of the trial to the whole. */
-const GROWTH_PART = 0.015
-/** Part of the limit that is planned for: boxes learn of the order, and of each step, some 100 ms apart. */
-const PLANNED_PART = 0.95
 /**
- * The end state is written this much before the end of the time: two more boxes may step in for one that the store turns away, and a
- * slow store takes up to 0.6 s.
+ * Sessions may change version only after half of the duration, plus a margin for clock differences.
  */
-const COMPLETE_BEFORE: Milliseconds = 700
+const SESSION_MOVE_FRACTION = 0.52
 /**
- * The old version's answers get this part of the time to come to their end, and within these bounds; longer ones go on at the new
- * version's upstreams. What it takes of the limit the trial lacks: at 1.9 s and 6 % on trial a version of which every
- * fifth answer is three times slower was not found in 24 s, and with the old version's answers given 1.9 s in place of 4.8 s as much was earned
- * (0.808 of all worth on a day with a good version, both).
+ * Factor on the trial share before that, while only requests without a session go to the target.
  */
-const TO_END_PART = 0.02
-const LEAST_TO_END: Milliseconds = 500
-const MOST_TO_END: Milliseconds = 10_000
+const EARLY_SHARE_FACTOR = 0.1
+/** Fraction of the duration, counted at the trial share, that the lower early share saves. */
+const EARLY_SAVED_FRACTION = SESSION_MOVE_FRACTION * (1 - EARLY_SHARE_FACTOR)
+/** Upper bound whatever the exposure limit; a larger sample isn't needed to judge a version. */
+const MAXIMUM_TRIAL_SHARE = 0.2
+/** Lower bound, used even if the duration is too short for the exposure limit. */
+const MINIMUM_TRIAL_SHARE = 0.01
+/** Fraction of the duration in which the share grows from the trial share to 1. */
+const GROWTH_FRACTION = 0.015
+/** Fraction of the exposure limit that is planned for; boxes see each step at different times. */
+const PLANNED_LIMIT_FRACTION = 0.95
+/**
+ * Time before the end at which the final state is written; covers a slow store and retries by other
+ * boxes.
+ */
+const COMPLETION_MARGIN: Milliseconds = 700
+/**
+ * Fraction of the duration, with bounds, for which the old version drains; answers that take longer
+ * are continued on the new version's upstreams. A longer drain leaves less of the exposure limit to
+ * the trial.
+ */
+const DRAIN_FRACTION = 0.02
+const MINIMUM_DRAIN: Milliseconds = 500
+const MAXIMUM_DRAIN: Milliseconds = 10_000
 
-/** The part of a service's requests that a bad version may get, 0 to 1, by the operators' settings. */
+/**
+ * Setting: largest share of a service's requests during a rollout that a bad version may get, 0 to
+ * 1.
+ */
 export type ExposureLimit = number
 
-/** When a version gets how much. Moments are parts of the roll-out's time. */
+/** Steps of a rollout. Instants are fractions of its duration, 0 to 1. */
 export interface RampPlan {
+  /** Share of requests that go to the target during the trial (canary) phase, 0 to 1. */
   trialShare: number
-  /** From here all new requests go to the target, and those under way on the old version come to their end. */
-  wholeFrom: number
+  /** From here on all new requests go to the target and the old version drains. */
+  fullTrafficFrom: number
+  /** From here on the final state is written. */
   completeFrom: number
 }
 
 /**
- * The ramp by which a version gets no more of its service's requests than a bad one may, even if nothing is ever held against it: it
- * has all of them only at the very end, and before that the share that the limit leaves. A good version loses nothing by waiting; a
- * bad one that shows late is found while the old one still runs.
+ * Plans a ramp whose total exposure over the duration stays within `limit`, even if a bad version
+ * is never detected: a constant trial share first, all requests only at the very end. The long
+ * trial detects late faults while the old version still runs.
  */
 export function planRamp({ duration }: RolloutOrder, limit: ExposureLimit): RampPlan {
-  const completeFrom = 1 - COMPLETE_BEFORE / duration
-  const toEnd = Math.min(MOST_TO_END, Math.max(LEAST_TO_END, TO_END_PART * duration))
-  const wholeFrom = completeFrom - toEnd / duration
-  const leftForTrial = PLANNED_PART * limit - GROWTH_PART / 2 - (1 - wholeFrom)
-  const trialShare = leftForTrial / (wholeFrom - TRIAL_LESS)
+  const completeFrom = 1 - COMPLETION_MARGIN / duration
+  const drain = Math.min(MAXIMUM_DRAIN, Math.max(MINIMUM_DRAIN, DRAIN_FRACTION * duration))
+  const fullTrafficFrom = completeFrom - drain / duration
+  const trialExposure = PLANNED_LIMIT_FRACTION * limit - GROWTH_FRACTION / 2 - (1 - fullTrafficFrom)
+  const trialShare = trialExposure / (fullTrafficFrom - EARLY_SAVED_FRACTION)
   return {
-    trialShare: Math.min(MOST_TRIAL_SHARE, Math.max(LEAST_TRIAL_SHARE, trialShare)),
-    wholeFrom,
+    trialShare: Math.min(MAXIMUM_TRIAL_SHARE, Math.max(MINIMUM_TRIAL_SHARE, trialShare)),
+    fullTrafficFrom,
     completeFrom,
   }
 }
 
-/** Share of requests that go to the target at a moment, 0 to 1. One that is doubted stays on trial. */
+/**
+ * Share of requests that go to the target at `storeNow`, 0 to 1. A doubted target keeps the trial
+ * share.
+ */
 export function targetShare(
   order: RolloutOrder,
   status: RolloutStatus | undefined,
@@ -117,27 +131,29 @@
   if (!status || !isOf(status, order)) return 0
   if (status.state === 'completed') return 1
   if (status.state === 'rolled-back') return 0
-  const { trialShare, wholeFrom } = planRamp(order, limit)
-  const part = partOf(order, status, storeNow)
-  if (part < TRIAL_FROM) return EARLY_PART * trialShare
+  const { trialShare, fullTrafficFrom } = planRamp(order, limit)
+  const elapsed = elapsedFraction(order, status, storeNow)
+  if (elapsed < SESSION_MOVE_FRACTION) return EARLY_SHARE_FACTOR * trialShare
   if (isDoubted) return trialShare
-  if (part >= wholeFrom) return 1
-  const growth = Math.max(0, (part - (wholeFrom - GROWTH_PART)) / GROWTH_PART)
+  if (elapsed >= fullTrafficFrom) return 1
+  const growth = Math.max(0, (elapsed - (fullTrafficFrom - GROWTH_FRACTION)) / GROWTH_FRACTION)
   return trialShare + (1 - trialShare) * growth
 }
 
-/** Whether the trial is over, so that what it has shown decides whether the target gets more. */
+/**
+ * Whether the trial phase is over, so that the evidence decides whether the target's share grows.
+ */
 export function isTrialOver(
   order: RolloutOrder,
   status: RolloutStatus,
   storeNow: Milliseconds,
   limit: ExposureLimit,
 ): boolean {
-  const { wholeFrom } = planRamp(order, limit)
-  return partOf(order, status, storeNow) >= wholeFrom - GROWTH_PART
+  const { fullTrafficFrom } = planRamp(order, limit)
+  return elapsedFraction(order, status, storeNow) >= fullTrafficFrom - GROWTH_FRACTION
 }
 
-function partOf(
+function elapsedFraction(
   { duration }: RolloutOrder,
   { startedAt }: RolloutStatus,
   storeNow: Milliseconds,
@@ -145,30 +161,31 @@
   return (storeNow - startedAt) / duration
 }
 
-/** Whether sessions must stay on the version that they began on. */
+/** Whether sessions must stay on the version that they started on. */
 export function keepsSessions(
   order: RolloutOrder,
   status: RolloutStatus | undefined,
   storeNow: Milliseconds,
 ): boolean {
   if (!status || !isOf(status, order) || status.state !== 'active') return true
-  return partOf(order, status, storeNow) < TRIAL_FROM
+  return elapsedFraction(order, status, storeNow) < SESSION_MOVE_FRACTION
 }
 
-/** What the leader of roll-outs knows when it decides. */
+/** Input of the rollout leader's decision. */
 export interface RolloutView {
   order: RolloutOrder
   status?: RolloutStatus
   storeNow: Milliseconds
-  /** Upstreams that serve the target and take requests. */
+  /** Number of upstreams that serve the target and accept requests. */
   targetUpstreams: number
+  /** Whether the target is significantly worse than the other versions. */
   isTargetBad: boolean
-  /** What is known of the target speaks rather against it. */
+  /** Whether the evidence suggests that the target is worse, without being significant. */
   isTargetDoubted: boolean
   limit: ExposureLimit
 }
 
-/** The state to write; undefined to leave it as it is. */
+/** The state to write; undefined to keep the present one. */
 export function decideRollout(view: RolloutView): RolloutState | undefined {
   const { order, status, storeNow, isTargetBad } = view
   if (!status || !isOf(status, order)) return view.targetUpstreams > 0 ? 'active' : undefined
@@ -176,6 +193,6 @@
   if (isTargetBad) return 'rolled-back'
   if (view.targetUpstreams === 0) return undefined
   const { completeFrom } = planRamp(order, view.limit)
-  if (partOf(order, status, storeNow) < completeFrom) return undefined
+  if (elapsedFraction(order, status, storeNow) < completeFrom) return undefined
   return view.isTargetDoubted ? 'rolled-back' : 'completed'
 }
--- a/packages/decisions/src/rollouts/versionEvidence.ts
+++ b/packages/decisions/src/rollouts/versionEvidence.ts
@@ -1,30 +1,33 @@
-import { KEPT_BLOCKS, OLDER_BLOCK, type EvidenceTotal } from '../exposure/evidence.js'
+import { OLDER_BLOCK, RETAINED_BLOCKS, type EvidenceTotal } from '../exposure/evidence.js'
 import {
-  isShownWorse,
-  logEvidenceOfAll,
+  isSignificantlyWorse,
+  totalLogEvidence,
   type VersionEvidence,
-  type WorseTestOptions,
+  type SequentialTestOptions,
 } from '../exposure/isShownWorse.js'
 import type { Milliseconds } from '../types/clock.js'
 
-/** What is judged of an answer: whether it came whole, how soon it began, and how fast it went on. */
+/** Rated aspects of an answer: completeness, time until it starts, and speed of the rest. */
 export const ANSWER_ASPECTS = ['outcome', 'start', 'pace'] as const
 export type AnswerAspect = (typeof ANSWER_ASPECTS)[number]
 
-/** Answers of one version on one route, as one box saw them since the version was ordered. Each number only grows. */
+/**
+ * Answers of one version on one route, counted by one box since the rollout was ordered. Counts
+ * only grow.
+ */
 export interface AnswerCount {
   service: string
   version: string
   route: string
   aspect: AnswerAspect
-  /** Told for the version on trial only. */
+  /** Set for the version on trial only. */
   upstream?: string
   good: number
-  /** Failures and broken answers; for `start` and `pace` those slower than most answers of other versions. */
+  /** Failed and incomplete answers; for `start` and `pace` answers slower than the baseline. */
   bad: number
 }
 
-/** Evidence of one version, route, aspect and upstream, by block of time. */
+/** Counts of one version, route, aspect and upstream, by time block. */
 interface EvidenceCell {
   version: string
   route: string
@@ -33,20 +36,20 @@
   blocks: Map<number, EvidenceTotal>
 }
 
-/** The answers of a service's versions, cut into blocks of time by the box that judges them. */
+/** Answer counts of a service's versions, in time blocks of the box that compares them. */
 export interface EvidenceLedger {
   cells: Map<string, EvidenceCell>
-  /** What each box had told when it was last heard. */
-  heard: Map<string, Pick<AnswerCount, 'good' | 'bad'>>
+  /** Last counts received, by box and cell. */
+  lastCounts: Map<string, Pick<AnswerCount, 'good' | 'bad'>>
 }
 
-/** Why a version is held to be bad. */
+/** Evidence that a version is bad. */
 export interface VersionFault {
-  /** Those that show it together. */
+  /** Aspects whose counts were tested together. */
   aspects: readonly AnswerAspect[]
-  /** Undefined where all routes together show it. */
+  /** Undefined if all routes were tested together. */
   route: string | undefined
-  /** Of the version, and of the others, since it was ordered. */
+  /** Answers of the version and of the other versions, since the rollout was ordered. */
   good: number
   bad: number
   othersGood: number
@@ -54,85 +57,90 @@
 }
 
 /**
- * Versions are compared within blocks, and from each block on: the good time of a version that turns bad late does not excuse it,
- * nor does trouble of the others that is over. Shorter ones hold too few answers to compare.
+ * Length of a time block. Versions are compared over the same blocks, so that neither a late
+ * regression nor a past fault of the other versions is averaged away. Long enough to hold several
+ * answers.
  */
-const BLOCK_LENGTH: Milliseconds = 2_000
+const BLOCK_DURATION: Milliseconds = 2_000
 
-/** How the answers of versions are compared. */
-interface VersionTest extends WorseTestOptions {
+/** Options of one comparison of versions. */
+interface VersionTest extends SequentialTestOptions {
   aspects: readonly AnswerAspect[]
-  /** Part of the version's upstreams that are left out, the worst first: they may be faulty themselves. */
-  leftOutPart: number
-  /** Upstreams whose answers must have been seen, if the version has twice as many. */
-  leastUpstreams: number
-  /** Fewer bad answers than this may be chance. */
-  leastBad: number
-  /** Whether a fault that shows on one route alone counts. */
+  /**
+   * Fraction of the version's upstreams to exclude, worst first, since single upstreams may be
+   * faulty; 0 to 1.
+   */
+  excludedFraction: number
+  /** Fewest upstreams with answers; lower if the version has fewer than twice as many upstreams. */
+  minimumUpstreams: number
+  /** Fewest bad answers. */
+  minimumBad: number
+  /** Whether to test each route on its own too. */
   byRoute: boolean
 }
 
 /** Fewer failures may be chance. */
-const LEAST_FAILED = 4
-/** A long prompt makes the answers of all that run beside it late at once: a few slow answers together say as much as one. */
-const LEAST_SLOW = 10
+const MINIMUM_FAILURES = 4
+/** Higher than for failures, since one long prompt slows all answers that run beside it. */
+const MINIMUM_SLOW_ANSWERS = 10
 /**
- * Engines that are slow by themselves get less of what the established versions answer, and as much as others of what the
- * version on trial does, so that how long answers take is believed only of many upstreams. Failures soon put an upstream out of use.
+ * Latency must be shown by many upstreams: load balancing sends less to slow upstreams of the
+ * established versions but not to those on trial, and slow upstreams aren't ejected as failing ones
+ * are.
  */
-const OF_TIME = {
+const LATENCY_TEST_OPTIONS = {
   alpha: 0.005,
-  leftOutPart: 1 / 4,
-  leastUpstreams: 6,
-  leastBad: LEAST_SLOW,
+  excludedFraction: 1 / 4,
+  minimumUpstreams: 6,
+  minimumBad: MINIMUM_SLOW_ANSWERS,
   byRoute: false,
 }
-const TESTS: readonly VersionTest[] = [
+const VERSION_TESTS: readonly VersionTest[] = [
   {
     aspects: ['outcome'],
     alpha: 0.01,
     tolerance: 0.02,
-    leftOutPart: 1 / 6,
-    leastUpstreams: 2,
-    leastBad: LEAST_FAILED,
+    excludedFraction: 1 / 6,
+    minimumUpstreams: 2,
+    minimumBad: MINIMUM_FAILURES,
     byRoute: true,
   },
-  { aspects: ['start'], tolerance: 0.05, ...OF_TIME },
-  // Where a good version begins answers later, since nothing of the prompts is kept yet, it goes on no more slowly.
-  { aspects: ['pace'], tolerance: 0.02, ...OF_TIME },
-  // A version that is a little slow in both shows in half of the time.
-  { aspects: ['start', 'pace'], tolerance: 0.02, ...OF_TIME },
+  { aspects: ['start'], tolerance: 0.05, ...LATENCY_TEST_OPTIONS },
+  // A cold prefix cache delays the start of answers but not their pace, so this tolerance is lower.
+  { aspects: ['pace'], tolerance: 0.02, ...LATENCY_TEST_OPTIONS },
+  // Detects a version that is slightly slow in both aspects sooner than either test alone.
+  { aspects: ['start', 'pace'], tolerance: 0.02, ...LATENCY_TEST_OPTIONS },
 ]
 
-/** Logarithm of the evidence against a version from which it is not given all requests: 3 to 1. */
-const DOUBT = Math.log(3)
-const LEAST_DOUBTED = 3
-/** What is left without the worst only has to confirm what all show. */
-const LEFT_OUT_ALPHA = 0.05
+/** Log likelihood ratio above which a version is doubted and not completed: 3 to 1. */
+const DOUBT_LOG_EVIDENCE = Math.log(3)
+const MINIMUM_BAD_FOR_DOUBT = 3
+/** Weaker than the main test, since it only confirms that result without the worst upstreams. */
+const EXCLUSION_ALPHA = 0.05
 
 export function createEvidenceLedger(): EvidenceLedger {
-  return { cells: new Map(), heard: new Map() }
+  return { cells: new Map(), lastCounts: new Map() }
 }
 
-/** Takes what a box has counted. True if a version has more bad answers than before. */
+/** Records the counts of a box. Returns whether any bad answers were added. */
 export function takeAnswerCounts(
   ledger: EvidenceLedger,
   box: string,
   counts: readonly AnswerCount[],
   now: Milliseconds,
 ): boolean {
-  const block = Math.floor(now / BLOCK_LENGTH)
+  const block = Math.floor(now / BLOCK_DURATION)
   let hasBad = false
   for (const count of counts) {
-    const name = nameOf(count)
-    const heard = ledger.heard.get(`${box} ${name}`)
-    // A box that has started again counts from nothing.
-    const isSameRun = heard && count.good >= heard.good && count.bad >= heard.bad
-    const good = count.good - (isSameRun ? heard.good : 0)
-    const bad = count.bad - (isSameRun ? heard.bad : 0)
+    const key = cellKeyOf(count)
+    const previous = ledger.lastCounts.get(`${box} ${key}`)
+    // Counts restart from 0 when a box restarts.
+    const isSameIncarnation = previous && count.good >= previous.good && count.bad >= previous.bad
+    const good = count.good - (isSameIncarnation ? previous.good : 0)
+    const bad = count.bad - (isSameIncarnation ? previous.bad : 0)
     if (good === 0 && bad === 0) continue
-    ledger.heard.set(`${box} ${name}`, { good: count.good, bad: count.bad })
-    const total = totalOf(ledger, name, count, block)
+    ledger.lastCounts.set(`${box} ${key}`, { good: count.good, bad: count.bad })
+    const total = getOrCreateTotal(ledger, key, count, block)
     total.served += good + bad
     total.good += good
     total.bad += bad
@@ -141,34 +149,33 @@
   return hasBad
 }
 
-function nameOf({ version, route, aspect, upstream = '' }: AnswerCount): string {
+function cellKeyOf({ version, route, aspect, upstream = '' }: AnswerCount): string {
   return `${version} ${route} ${aspect} ${upstream}`
 }
 
-function totalOf(
+function getOrCreateTotal(
   { cells }: EvidenceLedger,
-  name: string,
+  key: string,
   { version, route, aspect, upstream }: AnswerCount,
   block: number,
 ): EvidenceTotal {
-  const cell = cells.get(name) ?? { version, route, aspect, upstream, blocks: new Map() }
-  cells.set(name, cell)
+  const cell = cells.get(key) ?? { version, route, aspect, upstream, blocks: new Map() }
+  cells.set(key, cell)
   const total = cell.blocks.get(block) ?? { served: 0, good: 0, bad: 0 }
   cell.blocks.set(block, total)
   foldOldBlocks(cell.blocks, block)
   return total
 }
 
-/** Blocks of long ago are added together, so that a roll-out of hours is no more to keep and to judge than one of a minute. */
+/** Merges old blocks into `OLDER_BLOCK`, which bounds memory and test time during long rollouts. */
 function foldOldBlocks(blocks: Map<number, EvidenceTotal>, newest: number): void {
   for (const [block, total] of blocks) {
-    if (block === OLDER_BLOCK || block > newest - KEPT_BLOCKS) continue
+    if (block === OLDER_BLOCK || block > newest - RETAINED_BLOCKS) continue
     blocks.delete(block)
     addTotal(blocks, OLDER_BLOCK, total)
   }
 }
 
-/** Adds to what is known of a block. */
 function addTotal(blocks: Map<number, EvidenceTotal>, block: number, total: EvidenceTotal): void {
   const known = blocks.get(block) ?? { served: 0, good: 0, bad: 0 }
   blocks.set(block, {
@@ -179,37 +186,36 @@
 }
 
 /**
- * Why a version is worse than the others of its service, at the same time and for the same work: in one aspect, on all routes
- * or on one. Undefined while that is not shown.
+ * Evidence that a version is significantly worse than the other versions of its service in the same
+ * period; undefined while there is none. Safe to evaluate repeatedly.
  */
 export function findVersionFault(
   ledger: EvidenceLedger,
   version: string,
   upstreams: number,
 ): VersionFault | undefined {
-  return findFault(ledger, version, (suspect, others, test) =>
-    isWorse(suspect, others, upstreams, test),
+  return findFault(ledger, version, (candidate, others, test) =>
+    isWorse(candidate, others, upstreams, test),
   )
 }
 
 /**
- * Why a version had better not get all requests: what is known of it speaks rather against it than for it. The test above looks many
- * times and must not take chance for a fault; this looks once, when the trial is over, so that less is enough. Undefined too where
- * little or nothing is known.
+ * Evidence that a version is probably worse. Needs less evidence than `findVersionFault`, since it
+ * is used when the trial is over instead of continuously. Undefined with little or no evidence.
  */
 export function findVersionDoubt(
   ledger: EvidenceLedger,
   version: string,
   upstreams: number,
 ): VersionFault | undefined {
-  return findFault(ledger, version, (suspect, others, test) =>
-    isDoubtful(suspect, others, upstreams, test),
+  return findFault(ledger, version, (candidate, others, test) =>
+    isDoubtful(candidate, others, upstreams, test),
   )
 }
 
-/** Whether evidence of a version, beside that of the others, shows something against it. */
+/** Whether the candidate's counts show a fault in comparison with those of the other versions. */
 type FaultTest = (
-  suspect: readonly EvidenceCell[],
+  candidate: readonly EvidenceCell[],
   others: readonly EvidenceCell[],
   test: VersionTest,
 ) => boolean
@@ -220,105 +226,108 @@
   isFault: FaultTest,
 ): VersionFault | undefined {
   const cells = [...ledger.cells.values()]
-  for (const test of TESTS) {
-    const ofAspects = cells.filter(({ aspect }) => test.aspects.includes(aspect))
-    const routes = new Set(test.byRoute ? ofAspects.map(({ route }) => route) : [])
+  for (const test of VERSION_TESTS) {
+    const cellsOfAspects = cells.filter(({ aspect }) => test.aspects.includes(aspect))
+    const routes = new Set(test.byRoute ? cellsOfAspects.map(({ route }) => route) : [])
     for (const route of [undefined, ...routes]) {
-      const compared = route === undefined ? ofAspects : ofAspects.filter(c => c.route === route)
-      const { suspect, others } = partByVersion(compared, version)
-      if (isFault(suspect, others, test))
-        return { aspects: test.aspects, route, ...sumsOf({ suspect, others }) }
+      const selected =
+        route === undefined ? cellsOfAspects : cellsOfAspects.filter(cell => cell.route === route)
+      const { candidate, others } = splitByVersion(selected, version)
+      if (isFault(candidate, others, test))
+        return { aspects: test.aspects, route, ...sumComparison({ candidate, others }) }
     }
   }
   return undefined
 }
 
-/** What all routes show of a version in one aspect, beside the others. */
+/** Counts of a version and of the other versions in one aspect, over all routes. */
 export function sumEvidence(
   ledger: EvidenceLedger,
   version: string,
   aspect: AnswerAspect,
 ): Omit<VersionFault, 'aspects' | 'route'> {
-  const ofAspect = [...ledger.cells.values()].filter(cell => cell.aspect === aspect)
-  return sumsOf(partByVersion(ofAspect, version))
+  const cellsOfAspect = [...ledger.cells.values()].filter(cell => cell.aspect === aspect)
+  return sumComparison(splitByVersion(cellsOfAspect, version))
 }
 
-/** Evidence of a version, and that of the others beside it. */
+/** Cells of one version, and of all other versions. */
 interface ComparedCells {
-  suspect: readonly EvidenceCell[]
+  candidate: readonly EvidenceCell[]
   others: readonly EvidenceCell[]
 }
 
-function partByVersion(cells: readonly EvidenceCell[], version: string): ComparedCells {
+function splitByVersion(cells: readonly EvidenceCell[], version: string): ComparedCells {
   return {
-    suspect: cells.filter(cell => cell.version === version),
+    candidate: cells.filter(cell => cell.version === version),
     others: cells.filter(cell => cell.version !== version),
   }
 }
 
-/** The fault must show without the worst of the version's upstreams: one that fails by itself is no fault of the version. */
+/**
+ * The fault must remain significant without the worst upstreams, which may be faulty themselves.
+ */
 function isWorse(
-  suspect: readonly EvidenceCell[],
+  candidate: readonly EvidenceCell[],
   others: readonly EvidenceCell[],
   upstreams: number,
   test: VersionTest,
 ): boolean {
-  if (sumOf(suspect).bad < test.leastBad) return false
-  const bar = mergeCells(others)
-  if (!isShownWorse(mergeCells(suspect), bar, test)) return false
+  if (sumCells(candidate).bad < test.minimumBad) return false
+  const baseline = mergeCells(others)
+  if (!isSignificantlyWorse(mergeCells(candidate), baseline, test)) return false
   if (upstreams <= 1) return true
-  if (countUpstreams(suspect) < Math.min(test.leastUpstreams, Math.ceil(upstreams / 2)))
+  if (countUpstreams(candidate) < Math.min(test.minimumUpstreams, Math.ceil(upstreams / 2)))
     return false
-  const rest = withoutWorst(suspect, test)
-  return isShownWorse(mergeCells(rest), bar, { ...test, alpha: LEFT_OUT_ALPHA })
+  const rest = excludeWorstUpstreams(candidate, test)
+  return isSignificantlyWorse(mergeCells(rest), baseline, { ...test, alpha: EXCLUSION_ALPHA })
 }
 
 function isDoubtful(
-  suspect: readonly EvidenceCell[],
+  candidate: readonly EvidenceCell[],
   others: readonly EvidenceCell[],
   upstreams: number,
   test: VersionTest,
 ): boolean {
-  if (sumOf(suspect).bad < LEAST_DOUBTED) return false
-  const bar = mergeCells(others)
-  const compared = upstreams <= 1 ? suspect : withoutWorst(suspect, test)
-  return logEvidenceOfAll(mergeCells(compared), bar, test.tolerance ?? 0) > DOUBT
+  if (sumCells(candidate).bad < MINIMUM_BAD_FOR_DOUBT) return false
+  const baseline = mergeCells(others)
+  const selected = upstreams <= 1 ? candidate : excludeWorstUpstreams(candidate, test)
+  return totalLogEvidence(mergeCells(selected), baseline, test.tolerance ?? 0) > DOUBT_LOG_EVIDENCE
 }
 
 const countUpstreams = (cells: readonly EvidenceCell[]): number =>
   new Set(cells.map(({ upstream }) => upstream)).size
 
-function withoutWorst(
+function excludeWorstUpstreams(
   cells: readonly EvidenceCell[],
-  { leftOutPart }: VersionTest,
+  { excludedFraction }: VersionTest,
 ): readonly EvidenceCell[] {
-  const worstFirst = upstreamsByBad(cells)
-  const leftOut = Math.max(1, Math.floor(leftOutPart * worstFirst.length))
-  const kept = new Set(worstFirst.slice(leftOut))
+  const sorted = upstreamsWorstFirst(cells)
+  const excluded = Math.max(1, Math.floor(excludedFraction * sorted.length))
+  const kept = new Set(sorted.slice(excluded))
   return cells.filter(({ upstream }) => kept.has(upstream))
 }
 
-function upstreamsByBad(cells: readonly EvidenceCell[]): (string | undefined)[] {
+function upstreamsWorstFirst(cells: readonly EvidenceCell[]): (string | undefined)[] {
   const bad = new Map<string | undefined, number>()
   for (const cell of cells)
-    bad.set(cell.upstream, (bad.get(cell.upstream) ?? 0) + sumOf([cell]).bad)
-  const worstFirst = [...bad].sort(([, left], [, right]) => right - left)
-  return worstFirst.map(([upstream]) => upstream)
+    bad.set(cell.upstream, (bad.get(cell.upstream) ?? 0) + sumCells([cell]).bad)
+  const sorted = [...bad].sort(([, left], [, right]) => right - left)
+  return sorted.map(([upstream]) => upstream)
 }
 
-/** By aspect and route, so that each is compared with itself. */
+/** Sums cells by aspect and route, the kinds that are compared separately. */
 function mergeCells(cells: readonly EvidenceCell[]): VersionEvidence {
   const merged = new Map<string, Map<number, EvidenceTotal>>()
   for (const { aspect, route, blocks } of cells) {
     const kind = `${aspect} ${route}`
-    const ofKind = merged.get(kind) ?? new Map<number, EvidenceTotal>()
-    merged.set(kind, ofKind)
-    for (const [block, total] of blocks) addTotal(ofKind, block, total)
+    const kindBlocks = merged.get(kind) ?? new Map<number, EvidenceTotal>()
+    merged.set(kind, kindBlocks)
+    for (const [block, total] of blocks) addTotal(kindBlocks, block, total)
   }
   return merged
 }
 
-function sumOf(cells: readonly EvidenceCell[]): { good: number; bad: number } {
+function sumCells(cells: readonly EvidenceCell[]): { good: number; bad: number } {
   const sum = { good: 0, bad: 0 }
   for (const { blocks } of cells)
     for (const { good, bad } of blocks.values()) {
@@ -328,7 +337,10 @@
   return sum
 }
 
-function sumsOf({ suspect, others }: ComparedCells): Omit<VersionFault, 'aspects' | 'route'> {
-  const { good, bad } = sumOf(others)
-  return { ...sumOf(suspect), othersGood: good, othersBad: bad }
+function sumComparison({
+  candidate,
+  others,
+}: ComparedCells): Omit<VersionFault, 'aspects' | 'route'> {
+  const { good, bad } = sumCells(others)
+  return { ...sumCells(candidate), othersGood: good, othersBad: bad }
 }
--- a/packages/decisions/src/sessions/sessionToken.ts
+++ b/packages/decisions/src/sessions/sessionToken.ts
@@ -1,41 +1,49 @@
 /**
- * A session's versions travel with the caller, in a token signed by the boxes' shared keys. No box keeps a
- * session, so it survives every box and costs the store nothing.
+ * Stateless sessions: the caller holds the session in a token signed with the boxes' shared keys,
+ * so it is valid on every box and needs no store access.
  */
 import { createHmac, timingSafeEqual } from 'node:crypto'
 import { Result } from 'true-myth'
 
-/** What a session was started with. */
+/** Signed content of a session token. */
 export interface Session {
-  /** Names the session in logs and counts; random. */
+  /** Random; identifies the session in logs and counts. */
   id: string
   organisation: string
-  /** Version of each model, fixed when the session started or first used the model. */
+  /** Version by model, fixed when the session started or first used the model. */
   versions: Record<string, string>
-  /** Table revision of the start. */
+  /** Table revision when the session started. */
   revision: number
 }
 
-/** A shared secret. The first of a ring signs, all of them verify, so that keys are changed without a stop. */
+/**
+ * A shared secret. The first key of a ring signs and all keys verify, so keys can be rotated
+ * without downtime.
+ */
 export interface SigningKey {
   id: string
   secret: string
 }
 
+/** `forged`: unknown key or wrong signature. `foreign`: signed for another organisation. */
 export type SessionFault = 'malformed' | 'forged' | 'foreign'
 
 const MAXIMUM_TOKEN_LENGTH = 4_096
 
-/** Signs a session with the first key of the ring. */
+/**
+ * Signs a session with the first key of the ring.
+ * @throws RangeError if the ring is empty
+ */
 export function signSession(session: Session, ring: readonly SigningKey[]): string {
   const key = ring[0]
-  if (!key) throw new RangeError('the ring of session keys is empty; set at least one key')
+  if (!key)
+    throw new RangeError('the session key ring is empty; configure at least one signing key')
   const payload = Buffer.from(JSON.stringify(session)).toString('base64url')
   const body = `${key.id}.${payload}`
   return `${body}.${signatureOf(body, key).toString('base64url')}`
 }
 
-/** Reads a token that came from outside. */
+/** Verifies and decodes an untrusted token. */
 export function verifySession(
   token: string,
   organisation: string,
--- a/packages/decisions/src/types/transition.ts
+++ b/packages/decisions/src/types/transition.ts
@@ -1,8 +1,8 @@
 import type { Milliseconds } from './clock.js'
 
 /**
- * A controller's decision. The state is owned by one task, which alone passes it in; a transition may
- * change it in place. Effects are plain data that the task carries out.
+ * Handles one message of a state machine. A single task owns the state, which a transition may
+ * mutate, and executes the returned effects, which are plain data.
  */
 export type Transition<State, Message, Effect> = (
   state: State,
@@ -10,13 +10,13 @@
   now: Milliseconds,
 ) => Effect[]
 
-/** The message of one type. */
+/** The member of a message union with the given type. */
 export type MessageOf<Message extends { type: string }, Type extends Message['type']> = Extract<
   Message,
   { type: Type }
 >
 
-/** A handler for each type of message. */
+/** One handler for each message type. */
 export type HandlerTable<State, Message extends { type: string }, Effect> = {
   [Type in Message['type']]: (
     state: State,
@@ -25,7 +25,7 @@
   ) => Effect[]
 }
 
-/** The transition that looks up the handler of each message. */
+/** Creates a transition that dispatches each message to the handler of its type. */
 export function createTransition<State, Message extends { type: string }, Effect>(
   handlers: HandlerTable<State, Message, Effect>,
 ): Transition<State, Message, Effect> {
--- a/packages/decisions/src/types/verdict.ts
+++ b/packages/decisions/src/types/verdict.ts
@@ -1,9 +1,9 @@
 import type { Milliseconds } from './clock.js'
 
-/** Whether a request may have run on an upstream. Part of every refusal. */
+/** Whether a request was run on an upstream. Part of every refusal. */
 export type Verdict = 'not-run' | 'may-have-run' | 'ran'
 
-/** The closed list of reasons for a refusal. */
+/** All reasons for a refusal. */
 export type RefusalReason =
   | 'bad-request'
   | 'unauthenticated'
@@ -26,17 +26,17 @@
   | 'deadline-passed'
   | 'ends-upstreams'
 
-/** An answer that says no, why, and whether the request may have run all the same. */
+/** A refused request: the reason, and whether it may have run nevertheless. */
 export interface Refusal {
   verdict: Verdict
   reason: RefusalReason
-  /** For a person: the place and the mend. */
+  /** Human-readable: what is wrong and how to fix it. */
   message: string
-  /** When asking again may help. */
+  /** Delay after which a retry may succeed. */
   retryAfter?: Milliseconds
 }
 
-/** HTTP status of each reason. */
+/** HTTP status by reason. */
 export const STATUS_OF_REASON: Record<RefusalReason, number> = {
   'bad-request': 400,
   unauthenticated: 401,
@@ -69,7 +69,7 @@
   return { verdict: 'not-run', reason, message, ...(retryAfter !== undefined && { retryAfter }) }
 }
 
-/** A refusal of a request of which nobody can say that it did not run. */
+/** A refusal of a request that may have run. */
 export function refuseMayHaveRun(
   reason: RefusalReason,
   message: string,
--- a/packages/decisions/src/utils/issues.ts
+++ b/packages/decisions/src/utils/issues.ts
@@ -1,19 +1,19 @@
 import type { z } from 'zod'
 import { nearestName } from './nearestName.js'
 
-/** A fault in what a person wrote: the place and the mend. */
+/** An error in user input: where it is and how to fix it. */
 export interface InputIssue {
   /** For example `line 4` or `entry.port`. */
   place: string
   message: string
 }
 
-/** One line for a person. */
+/** Formats an issue as one line. */
 export function formatIssue(issue: InputIssue): string {
   return `${issue.place}: ${issue.message}`
 }
 
-/** Turns the findings of a schema into issues, naming the nearest known name for an unknown one. */
+/** Converts schema errors into issues and suggests the nearest known name for each unknown one. */
 export function issuesFromSchema(
   error: z.ZodError,
   knownNames: readonly string[],
@@ -30,7 +30,7 @@
   })
 }
 
-/** Says that a name is unknown and which one was likely meant. */
+/** Message for an unknown name, with the nearest known name as a suggestion. */
 export function unknownNameMessage(name: string, knownNames: readonly string[]): string {
   const nearest = nearestName(name, knownNames)
   return nearest
--- a/packages/decisions/src/utils/rendezvousHash.ts
+++ b/packages/decisions/src/utils/rendezvousHash.ts
@@ -1,13 +1,13 @@
 import murmur from 'imurmurhash'
 
-/** 32-bit hash of a text. */
+/** 32-bit MurmurHash3 of a text. */
 export function hashText(text: string, seed = 0): number {
   return murmur(text, seed).result()
 }
 
 /**
- * The `count` members that rank highest for `key`. A member that joins or leaves moves only the keys
- * that it gains or loses.
+ * Rendezvous hashing: the `count` members that rank highest for `key`. A member that joins or
+ * leaves affects only the keys that it gains or loses.
  */
 export function rankByRendezvous<T>(
   key: string,
@@ -23,7 +23,7 @@
     .map(entry => entry.member)
 }
 
-/** Spreads two hashes evenly over 32 bits: the last steps of MurmurHash3. */
+/** Combines two hashes into a 32-bit one, with the finalizer of MurmurHash3. */
 export function mixHashes(left: number, right: number): number {
   let mixed = left ^ right
   mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b)
--- a/packages/decisions/test/sessionToken.test.ts
+++ b/packages/decisions/test/sessionToken.test.ts
@@ -7,25 +7,25 @@
 const SESSION: Session = { id: 's', organisation: 'a', versions: { small: '1' }, revision: 3 }
 
 describe('session tokens', () => {
-  it('bring back the session', () => {
+  it('yield the signed session when verified', () => {
     expect(verifySession(signSession(SESSION, [KEY]), 'a', [KEY])).to.deep.include({
       value: SESSION,
     })
   })
 
-  it('are read while their key is being replaced', () => {
+  it('verify while their key is in the ring, and fail once it is removed', () => {
     const token = signSession(SESSION, [KEY])
     expect(verifySession(token, 'a', [NEXT_KEY, KEY]).isOk).to.equal(true)
     expect(verifySession(token, 'a', [NEXT_KEY]).isOk).to.equal(false)
   })
 
-  it('of another organisation are foreign', () => {
+  it('of another organisation are rejected as foreign', () => {
     expect(verifySession(signSession(SESSION, [KEY]), 'b', [KEY])).to.deep.include({
       error: 'foreign',
     })
   })
 
-  it('are refused after any change of a character', () => {
+  it('are rejected after a change of any character', () => {
     const token = signSession(SESSION, [KEY])
     fc.assert(
       fc.property(
@@ -41,7 +41,7 @@
     )
   })
 
-  it('that are any text are refused and never throw', () => {
+  it('with arbitrary content are rejected without an exception', () => {
     fc.assert(
       fc.property(fc.string(), text => verifySession(text, 'a', [KEY]).isErr),
       { seed: 3, numRuns: 500 },
--- a/packages/decisions/test/systemClock.test.ts
+++ b/packages/decisions/test/systemClock.test.ts
@@ -7,49 +7,47 @@
 } from '../src/index.js'
 
 /**
- * What users would see: a key that was taken away while a machine was suspended is honoured after it wakes, and upstreams that left are
- * still sent requests, for as long as what the box holds would have been good.
- * Cause: all that is held for a time was held by a clock that stands still while the machine is suspended.
- * Evidence: the steady clock of the runtime is CLOCK_MONOTONIC; the system's time since its start and the time of day go on.
+ * Guards against revoked keys and removed upstreams that stay valid after a suspension: the
+ * runtime's monotonic clock stops while the machine is suspended.
  */
-describe('the clock of the machine', () => {
+describe('system clock', () => {
   let steady: Milliseconds
-  let sinceStart: Milliseconds
+  let sinceBoot: Milliseconds
   let timeOfDay: Milliseconds
   const sources: ClockSources = {
     steady: () => steady,
     timeOfDay: () => timeOfDay,
-    bootTime: () => sinceStart,
+    bootTime: () => sinceBoot,
   }
 
   beforeEach(() => {
     steady = 10_000
-    sinceStart = 500_000
+    sinceBoot = 500_000
     timeOfDay = Date.UTC(2026, 0, 1)
   })
 
   function run(span: Milliseconds): void {
     steady += span
-    sinceStart += span
+    sinceBoot += span
     timeOfDay += span
   }
 
   function suspend(span: Milliseconds): void {
-    sinceStart += span
+    sinceBoot += span
     timeOfDay += span
   }
 
-  it('goes on while the machine is suspended', () => {
+  it('includes the time that the machine was suspended', () => {
     const clock = createSystemClock(sources)
     const before = clock.now()
     run(100)
     suspend(4_000)
     run(1)
-    // The very first look after the wake, before any timer.
+    // The first call after the suspension, before any timer fires.
     expect(clock.now() - before).to.be.within(4_080, 4_120)
   })
 
-  it('does not move with the time of day', () => {
+  it('ignores changes of the wall time', () => {
     const clock = createSystemClock(sources)
     const before = clock.now()
     run(100)
@@ -60,29 +58,29 @@
     expect(clock.now() - before).to.be.within(199, 201)
   })
 
-  it('sees a suspension that a change of the time of day has hidden', () => {
+  it('detects a suspension that a simultaneous change of the wall time masks', () => {
     const clock = createSystemClock(sources)
     const before = clock.now()
-    sinceStart += 4_000
+    sinceBoot += 4_000
     run(300)
     expect(clock.now() - before).to.be.within(4_290, 4_310)
   })
 
-  it('fires timers that fell due meanwhile, the first to fall due first', async () => {
+  it('fires timers that became due during a suspension, in order of their due times', async () => {
     const clock = createSystemClock(sources)
     const fired: string[] = []
     clock.after(60_000, () => fired.push('later'))
     clock.after(30_000, () => fired.push('sooner'))
     clock.after(30_000, () => fired.push('cancelled')).cancel()
-    const never = clock.after(90_000, () => fired.push('not due'))
+    const notDue = clock.after(90_000, () => fired.push('not due'))
     suspend(61_000)
     clock.now()
     await new Promise(resolve => setTimeout(resolve, 5))
-    never.cancel()
+    notDue.cancel()
     expect(fired).to.deep.equal(['sooner', 'later'])
   })
 
-  it('has a boot clock that goes on', () => {
+  it('has a boot time that is positive and does not go back', () => {
     const bootTime = createBootTime()
     const first = bootTime()
     expect(first).to.be.greaterThan(0)
--- a/packages/decisions/test/versionEvidence.test.ts
+++ b/packages/decisions/test/versionEvidence.test.ts
@@ -17,7 +17,7 @@
   version: string,
   good: number,
   bad: number,
-  change: Partial<AnswerCount> = {},
+  overrides: Partial<AnswerCount> = {},
 ): AnswerCount => ({
   service: 'pool',
   version,
@@ -26,7 +26,7 @@
   ...(version === 'v2' && { upstream: 'u1' }),
   good,
   bad,
-  ...change,
+  ...overrides,
 })
 
 function ledgerOf(counts: readonly AnswerCount[]): EvidenceLedger {
@@ -38,16 +38,16 @@
 const isBad = (ledger: EvidenceLedger, upstreams = 1) =>
   findVersionFault(ledger, 'v2', upstreams) !== undefined
 
-describe('evidence about a version', () => {
-  it('calls a version bad that fails far more often than the others', () => {
+describe('version evidence', () => {
+  it('reports a version that fails far more often than the others', () => {
     expect(isBad(ledgerOf([count('v1', 200, 2), count('v2', 8, 5)]))).to.equal(true)
   })
 
-  it('does not blame a version for a fault that strikes all alike', () => {
+  it('reports no fault when all versions fail equally often', () => {
     expect(isBad(ledgerOf([count('v1', 60, 40), count('v2', 6, 5)]))).to.equal(false)
   })
 
-  it('sees a version that is bad on one route only', () => {
+  it('reports the route when a version fails on that route only', () => {
     const ledger = ledgerOf([
       count('v1', 300, 1),
       count('v1', 30, 0, { route: 'tag' }),
@@ -57,11 +57,11 @@
     expect(findVersionFault(ledger, 'v2', 1)?.route).to.equal('tag')
   })
 
-  it('waits for more than a few bad answers', () => {
+  it('reports no fault after three bad answers', () => {
     expect(isBad(ledgerOf([count('v1', 200, 0), count('v2', 0, 3)]))).to.equal(false)
   })
 
-  it('sees a version whose answers go on more slowly, though all of them come whole', () => {
+  it('reports the pace of a version whose answers are complete but slow', () => {
     const ledger = ledgerOf([
       count('v1', 200, 0),
       count('v1', 150, 50, { aspect: 'pace' }),
@@ -71,19 +71,19 @@
     expect(findVersionFault(ledger, 'v2', 1)?.aspects).to.deep.equal(['pace'])
   })
 
-  it('does not let the good time of a version excuse that it turns bad', () => {
+  it('reports a version that fails after a long good period', () => {
     const ledger = ledgerOf([count('v1', 400, 2), count('v2', 300, 0)])
     takeAnswerCounts(ledger, 'box-1', [count('v1', 450, 2), count('v2', 306, 6)], 9_000)
     expect(isBad(ledger)).to.equal(true)
   })
 
-  it('does not let trouble of the others that is over excuse a version', () => {
+  it('reports a version that fails after the other versions have recovered', () => {
     const ledger = ledgerOf([count('v1', 100, 60), count('v2', 0, 0)])
     takeAnswerCounts(ledger, 'box-1', [count('v1', 200, 60), count('v2', 20, 8)], 9_000)
     expect(isBad(ledger)).to.equal(true)
   })
 
-  it('does not blame a version for one upstream that fails by itself', () => {
+  it('reports a fault shared by all upstreams of a version but not one of a single upstream', () => {
     const ofUpstream = (upstream: string, good: number, bad: number) =>
       count('v2', good, bad, { upstream })
     const others = count('v1', 300, 2)
@@ -93,7 +93,7 @@
     expect(isBad(ledgerOf(allFail), 8)).to.equal(true)
   })
 
-  it('is kept in a bounded number of blocks, and none is lost, however long a roll-out takes', () => {
+  it('keeps all counts in at most 31 blocks during a long rollout', () => {
     const ledger = createEvidenceLedger()
     for (let step = 1; step <= 400; step++)
       takeAnswerCounts(ledger, 'box-1', [count('v1', step, 0), count('v2', 0, step)], 10_000 * step)
@@ -101,7 +101,7 @@
     expect(findVersionFault(ledger, 'v2', 1)).to.include({ bad: 400, othersGood: 400 })
   })
 
-  it('counts on when a box starts again and counts from nothing', () => {
+  it('adds the counts of a restarted box to those before the restart', () => {
     const ledger = ledgerOf([count('v1', 200, 0), count('v2', 3, 2)])
     takeAnswerCounts(ledger, 'box-1', [count('v2', 0, 1)], 1_000)
     takeAnswerCounts(ledger, 'box-1', [count('v2', 2, 4)], 1_500)
@@ -109,23 +109,23 @@
   })
 })
 
-describe('the look at a version when its trial is over', () => {
+describe('version evidence at the end of a trial', () => {
   const isDoubted = (bad: number) =>
     findVersionDoubt(ledgerOf([count('v1', 400, 2), count('v2', 40, bad)]), 'v2', 1) !== undefined
 
-  it('needs less against a version than a verdict at any time, and something', () => {
+  it('doubts a version on evidence too weak for a fault, but not on one bad answer', () => {
     expect(isBad(ledgerOf([count('v1', 400, 2), count('v2', 40, 6)]))).to.equal(false)
     expect(isDoubted(6)).to.equal(true)
     expect(isDoubted(1)).to.equal(false)
   })
 
-  it('says nothing of a version that has given no answers', () => {
+  it('does not doubt a version without answers', () => {
     expect(findVersionDoubt(ledgerOf([count('v1', 400, 2)]), 'v2', 4)).to.equal(undefined)
   })
 })
 
-describe('what is usual', () => {
-  it('follows the newest answers, and is not believed of a few', () => {
+describe('recent answer times', () => {
+  it('follow the latest samples and classify nothing until there are eight', () => {
     const times = createRecentTimes()
     const limit = { part: 0.5, times: 1 }
     for (let number = 0; number < 7; number++) noteTime(times, 30)
@@ -137,7 +137,7 @@
   })
 })
 
-describe('the upstreams of a trial', () => {
+describe('upstreams of a trial', () => {
   const upstreams = (version: string) =>
     Array.from({ length: 10 }, (_, number) => ({
       listed: { version } as UpstreamCandidate['listed'],
@@ -153,14 +153,14 @@
       ({ listed }) => listed.version === 'v2',
     )
 
-  it('are as many as its share of the requests, in turns, and none that is ejected', () => {
+  it('match its share of the requests, rotate, and exclude ejected ones', () => {
     expect(keptAt(0)).to.have.length(2)
     const seen = new Set([0, 1, 2, 3, 4].flatMap(round => keptAt(3_000 * round)))
     expect(seen.size).to.equal(9)
     expect([...seen].some(({ isEjected }) => isEjected)).to.equal(false)
   })
 
-  it('leave those of other versions as they are', () => {
+  it('include all upstreams of other versions', () => {
     const kept = keepTrialUpstreams(all, { version: 'v2', share: 0.17, storeNow: 0 })
     expect(kept.filter(({ listed }) => listed.version === 'v1')).to.have.length(10)
   })
