--- a/packages/box/src/tasks/allowanceTask.ts
+++ b/packages/box/src/tasks/allowanceTask.ts
@@ -26,54 +26,58 @@
   boxCount(): number
 }
 
-/** Whether a request may be paid for. `store-out`: it could be, had the store answered. */
+/**
+ * Result of reserving spend. `store-out`: the drawn amount is too small and the store did not
+ * answer a request for more.
+ */
 export type Reservation = 'reserved' | 'exhausted' | 'store-out'
 
+/** Millionths in one unit of the currency. */
 export const MILLIONTHS = 1_000_000
-const DRAW_TRIES = 4
-const DEMAND_MEMORY: Milliseconds = 2_000
+const MAX_WRITE_ATTEMPTS = 4
+const DEMAND_TIME_CONSTANT: Milliseconds = 2_000
 
 interface Demand {
-  /** Requests a second, smoothed. */
+  /** Requests per second at `at`, decaying exponentially since. */
   rate: number
   at: Milliseconds
 }
 
-/** Owns this box's parts of the organisations' spend and rate limits. */
+/** Enforces this box's shares of the organisations' spend and rate limits. */
 export class AllowanceTask {
   readonly #allowances = new Map<string, Allowance>()
-  readonly #draws = new Map<string, Promise<boolean>>()
-  readonly #buckets = new Map<string, RateBucket>()
+  readonly #runningDraws = new Map<string, Promise<boolean>>()
+  readonly #rateBuckets = new Map<string, RateBucket>()
   readonly #demand = new Map<string, Demand>()
   readonly #peerDemand = new Map<VoterId, ReadonlyMap<string, number>>()
 
   constructor(private readonly options: AllowanceTaskOptions) {}
 
-  /** Takes one request from the organisation's rate limit. */
+  /** Takes a token from the organisation's rate limit; false if the limit is reached. */
   takeRequest(organisation: string, limit: LimitRow): boolean {
     const now = this.options.clock.now()
-    this.#noteDemand(organisation, now)
+    this.#recordDemand(organisation, now)
     const perSecond = limit.requestsPerSecond
     if (perSecond === undefined) return true
     const own = this.#demandOf(organisation, now)
     const total = this.#totalDemand(organisation, own)
-    const part = shareOfLimit(perSecond, own, total, Math.max(1, this.options.boxCount()))
-    const bucket = this.#buckets.get(organisation) ?? createRateBucket(part, now)
-    this.#buckets.set(organisation, bucket)
-    return takeToken(bucket, part, now)
+    const share = shareOfLimit(perSecond, own, total, Math.max(1, this.options.boxCount()))
+    const bucket = this.#rateBuckets.get(organisation) ?? createRateBucket(share, now)
+    this.#rateBuckets.set(organisation, bucket)
+    return takeToken(bucket, share, now)
   }
 
-  /** Reserves what a request may cost at most, in millionths, drawing from the store when needed. */
+  /** Reserves a request's maximum cost, in millionths; draws from the store if too little is left. */
   async reserve(organisation: string, limit: LimitRow, amount: number): Promise<Reservation> {
     if (limit.spendPerDay === undefined) return 'reserved'
     const dayLimit = limit.spendPerDay * MILLIONTHS
     const allowance = this.#allowanceOf(organisation)
     if (reserve(allowance, amount)) {
-      // Drawing ahead of need keeps the store off the request's way.
+      // Draws in the background, so that later requests need not wait for the store.
       void this.#draw(organisation, allowance, dayLimit, 0)
       return 'reserved'
     }
-    for (let tries = 0; tries < 2; tries++) {
+    for (let attempt = 0; attempt < 2; attempt++) {
       const drawn = await this.#draw(organisation, allowance, dayLimit, amount)
       if (reserve(allowance, amount)) return 'reserved'
       if (!drawn && !allowance.exhausted) return 'store-out'
@@ -81,23 +85,25 @@
     return 'exhausted'
   }
 
-  /** Turns a reservation into what was spent. */
+  /** Replaces a reservation by the actual cost, both in millionths. */
   settle(organisation: string, limit: LimitRow, reserved: number, actual: number): void {
     if (limit.spendPerDay === undefined) return
     settle(this.#allowanceOf(organisation), reserved, actual, this.options.clock.now())
   }
 
-  /** Gives unused parts back to the store, at a planned stop. */
+  /** Returns unspent amounts to the store on a graceful shutdown. */
   async giveBack(): Promise<void> {
     for (const [organisation, allowance] of this.#allowances) {
-      const left = leftOf(allowance)
-      if (left > 0)
-        await this.#change(organisation, allowance.day, row => ({ drawn: row.drawn - left }))
+      const unspent = leftOf(allowance)
+      if (unspent > 0)
+        await this.#updateSpendRow(organisation, allowance.day, row => ({
+          drawn: row.drawn - unspent,
+        }))
     }
     this.#allowances.clear()
   }
 
-  /** Requests a second by organisation at this box. */
+  /** Request rate of each organisation at this box, in requests per second. */
   ownDemand(): [string, number][] {
     const now = this.options.clock.now()
     return [...this.#demand.keys()]
@@ -122,21 +128,24 @@
     return created
   }
 
-  /** One draw at a time for each organisation. False when the store did not answer. */
+  /**
+   * Draws from the store, one draw per organisation at a time. Resolves to false when the store did
+   * not answer.
+   */
   #draw(
     organisation: string,
     allowance: Allowance,
     dayLimit: number,
     needed: number,
   ): Promise<boolean> {
-    const running = this.#draws.get(organisation)
+    const running = this.#runningDraws.get(organisation)
     if (running) return running
     const wanted = wantedDraw(allowance, dayLimit, needed, this.options.clock.now())
     if (wanted === 0) return Promise.resolve(allowance.exhausted)
     const draw = this.#drawOnce(organisation, allowance, dayLimit, wanted, needed).finally(() =>
-      this.#draws.delete(organisation),
+      this.#runningDraws.delete(organisation),
     )
-    this.#draws.set(organisation, draw)
+    this.#runningDraws.set(organisation, draw)
     return draw
   }
 
@@ -148,7 +157,7 @@
     needed: number,
   ): Promise<boolean> {
     let granted = 0
-    const done = await this.#change(organisation, allowance.day, row => {
+    const done = await this.#updateSpendRow(organisation, allowance.day, row => {
       granted = grantOf(row, dayLimit, wanted, needed)
       return granted > 0 ? { drawn: row.drawn + granted } : undefined
     })
@@ -159,17 +168,18 @@
   }
 
   /**
-   * Changes a spend row. After a lost answer the change counts as not made: what may have been drawn is
-   * then lost to the day, and never spent twice.
+   * Updates a spend row by compare-and-swap; `change` returns undefined to leave it. A write with
+   * an unknown outcome counts as failed: the amount may be lost for the day but is never spent
+   * twice.
    */
-  async #change(
+  async #updateSpendRow(
     organisation: string,
     day: string,
     change: (row: SpendRow) => SpendRow | undefined,
   ): Promise<boolean> {
     const { table } = this.options
     const key = spendKey(organisation, day)
-    for (let tries = 0; tries < DRAW_TRIES; tries++) {
+    for (let attempt = 0; attempt < MAX_WRITE_ATTEMPTS; attempt++) {
       const answer = await table.read([key])
       if (answer.outcome !== 'read') return false
       const row = answer.rows[0]
@@ -185,14 +195,14 @@
     return false
   }
 
-  #noteDemand(organisation: string, now: Milliseconds): void {
-    const rate = this.#demandOf(organisation, now) + 1_000 / DEMAND_MEMORY
+  #recordDemand(organisation: string, now: Milliseconds): void {
+    const rate = this.#demandOf(organisation, now) + 1_000 / DEMAND_TIME_CONSTANT
     this.#demand.set(organisation, { rate, at: now })
   }
 
   #demandOf(organisation: string, now: Milliseconds): number {
     const demand = this.#demand.get(organisation)
-    return demand ? demand.rate * Math.exp(-(now - demand.at) / DEMAND_MEMORY) : 0
+    return demand ? demand.rate * Math.exp(-(now - demand.at) / DEMAND_TIME_CONSTANT) : 0
   }
 
   #totalDemand(organisation: string, own: number): number {
--- a/packages/box/src/tasks/billTask.ts
+++ b/packages/box/src/tasks/billTask.ts
@@ -29,22 +29,20 @@
   metrics: Metrics
   limits?: LedgerLimits
   send(to: VoterId, message: PeerMessage): void
-  /** Boxes that are to hold this box's bills now. */
+  /** Boxes to replicate new bills of this box to. */
   witnesses(): VoterId[]
-  /** Boxes in the system, for the pace of writing. */
+  /** Number of boxes; the interval between writes grows with it. */
   boxCount(): number
-  /** Asks the upstream of a cut-off request how it ended; undefined to ask again later. */
+  /** Asks the upstream how an interrupted request ended; undefined to retry later. */
   reconcile(bill: Bill): Promise<Bill | 'void' | undefined>
 }
 
-/** Batches of all boxes together that may be written each second. */
-const BATCHES_PER_SECOND = 40
-const SHORTEST_FLUSH: Milliseconds = 1_000
-/** Between tries at a planned stop. */
-const FLUSH_PAUSE: Milliseconds = 250
-const RECONCILE_PAUSE: Milliseconds = 2_000
-/** A witness that does not confirm within this time is replaced. */
-const WITNESS_PATIENCE: Milliseconds = 1_000
+/** Limit for all boxes together. */
+const MAX_BATCHES_PER_SECOND = 40
+const MIN_FLUSH_INTERVAL: Milliseconds = 1_000
+const FLUSH_RETRY_DELAY: Milliseconds = 250
+const RECONCILE_RETRY_DELAY: Milliseconds = 2_000
+const WITNESS_CONFIRMATION_TIMEOUT: Milliseconds = 1_000
 
 interface Waiter {
   stage: Bill['stage']
@@ -52,7 +50,7 @@
   resolve(): void
 }
 
-/** Owns the box's ledger of bills and those that it holds for others. */
+/** Replicates this box's bills to witnesses, stores them, and is a witness for other boxes. */
 export class BillTask {
   readonly #state: LedgerState
   readonly #task: Task<LedgerMessage>
@@ -74,11 +72,11 @@
 
   start(): void {
     const { clock } = this.options
-    const flushEvery = () =>
-      Math.max(SHORTEST_FLUSH, (this.options.boxCount() * 1_000) / BATCHES_PER_SECOND)
+    const flushInterval = () =>
+      Math.max(MIN_FLUSH_INTERVAL, (this.options.boxCount() * 1_000) / MAX_BATCHES_PER_SECOND)
     this.#timers = [
-      every(clock, flushEvery, () => this.post({ type: 'flush' })),
-      every(clock, WITNESS_PATIENCE / 2, () => this.#replaceSlowWitnesses()),
+      every(clock, flushInterval, () => this.post({ type: 'flush' })),
+      every(clock, WITNESS_CONFIRMATION_TIMEOUT / 2, () => this.#replaceSlowWitnesses()),
     ]
   }
 
@@ -90,39 +88,42 @@
     this.#task.post(message)
   }
 
+  /** Whether the ledger accepts another bill. */
   get hasRoom(): boolean {
     return hasRoomForBill(this.#state)
   }
 
-  /** Bills that the store does not have yet. */
+  /** Number of this box's bills that are not in the store yet. */
   get unwritten(): number {
     return this.#state.own.size
   }
 
+  /** Number of bills that this box holds as a witness. */
   get heldForOthers(): number {
     return this.#state.heldCount
   }
 
-  /** Opens a bill. Resolves when it survives the loss of this box. */
+  /** Opens a bill. Resolves once it is replicated, so that it survives the loss of this box. */
   open(bill: Bill): Promise<void> {
     const witnesses = this.options.witnesses()
     this.post({ type: 'open', bill, witnesses })
-    // Alone, a box can only write the bill at its end, before the end of the answer goes out.
+    // Without witnesses, a bill is only written on closing, before the answer's last byte is sent.
     return witnesses.length === 0 ? Promise.resolve() : this.#whenProtected(bill.requestId, 'open')
   }
 
-  /** Closes a bill. Resolves when the closed bill survives the loss of this box. */
+  /** Closes a bill. Resolves once the closed bill is replicated or stored. */
   close(bill: Bill): Promise<void> {
     this.post({ type: 'close', bill })
     if (!this.#hasWitnesses(bill.requestId)) this.post({ type: 'flush' })
     return this.#whenProtected(bill.requestId, 'closed')
   }
 
+  /** Discards the bill of a request that is known not to have run. */
   void(requestId: string): void {
     this.post({ type: 'void', requestId })
   }
 
-  /** A bill that this box holds for a request of another box or of its own. */
+  /** Finds a bill of this box, or one that it holds as a witness. */
   find(requestId: string): Bill | undefined {
     const own = this.#state.own.get(requestId)
     if (own) return own.bill
@@ -133,11 +134,11 @@
     return undefined
   }
 
-  /** Resolves when the store has every bill of this box. */
+  /** Resolves once every bill of this box is in the store. */
   async flushAll(): Promise<void> {
     while (this.#state.own.size > 0) {
       this.post({ type: 'flush' })
-      await sleep(this.options.clock, FLUSH_PAUSE)
+      await sleep(this.options.clock, FLUSH_RETRY_DELAY)
     }
   }
 
@@ -154,13 +155,13 @@
     })
   }
 
-  #wake(requestId: string, stage?: Bill['stage']): void {
+  #resolveWaiters(requestId: string, stage?: Bill['stage']): void {
     const waiters = this.#waiters.get(requestId)
     if (!waiters) return
-    const left = waiters.filter(waiter => stage === 'open' && waiter.stage === 'closed')
-    if (left.length > 0) this.#waiters.set(requestId, left)
+    const remaining = waiters.filter(waiter => stage === 'open' && waiter.stage === 'closed')
+    if (remaining.length > 0) this.#waiters.set(requestId, remaining)
     else this.#waiters.delete(requestId)
-    waiters.filter(waiter => !left.includes(waiter)).forEach(waiter => waiter.resolve())
+    waiters.filter(waiter => !remaining.includes(waiter)).forEach(waiter => waiter.resolve())
   }
 
   #run(effect: LedgerEffect): void {
@@ -173,19 +174,19 @@
       case 'confirm-held':
         return send(effect.to, { type: 'held', stage: effect.stage, requestIds: effect.requestIds })
       case 'protected':
-        return this.#wake(effect.requestId, effect.stage)
+        return this.#resolveWaiters(effect.requestId, effect.stage)
       case 'send-release':
         return send(effect.to, { type: 'release', requestIds: effect.requestIds })
       case 'write-batch':
         return void this.#writeBatch(effect.id, effect.bills)
       case 'written':
-        return effect.requestIds.forEach(requestId => this.#wake(requestId))
+        return effect.requestIds.forEach(requestId => this.#resolveWaiters(requestId))
       case 'reconcile':
         return void this.#reconcile(effect.bill)
     }
   }
 
-  /** One transaction creates all rows. What stands already is left out of the next try. */
+  /** Creates all rows in one transaction. After a conflict, existing rows count as written. */
   async #writeBatch(id: number, bills: Bill[]): Promise<void> {
     const { table, metrics } = this.options
     const outcome = await table.commit({
@@ -197,9 +198,9 @@
       return this.post({ type: 'batch-written', id, requestIds: bills.map(bill => bill.requestId) })
     }
     if (outcome === 'unavailable') return this.#failBatch(id)
-    const standing = await table.read(bills.map(bill => billKey(bill.requestId)))
-    if (standing.outcome !== 'read') return this.#failBatch(id)
-    const keys = new Set(standing.rows.map(row => row.key))
+    const existing = await table.read(bills.map(bill => billKey(bill.requestId)))
+    if (existing.outcome !== 'read') return this.#failBatch(id)
+    const keys = new Set(existing.rows.map(row => row.key))
     const requestIds = bills
       .map(bill => bill.requestId)
       .filter(requestId => keys.has(billKey(requestId)))
@@ -215,23 +216,23 @@
     const ended = await this.options.reconcile(bill)
     if (ended === 'void') this.post({ type: 'void', requestId: bill.requestId })
     else if (ended) this.post({ type: 'close', bill: ended })
-    else this.options.clock.after(RECONCILE_PAUSE, () => void this.#reconcile(bill))
+    else this.options.clock.after(RECONCILE_RETRY_DELAY, () => void this.#reconcile(bill))
   }
 
   #replaceSlowWitnesses(): void {
     const now = this.options.clock.now()
     const slow = new Set<VoterId>()
     for (const [requestId, waiters] of this.#waiters) {
-      if (!waiters.some(waiter => now - waiter.since > WITNESS_PATIENCE)) continue
+      if (!waiters.some(waiter => now - waiter.since > WITNESS_CONFIRMATION_TIMEOUT)) continue
       const own = this.#state.own.get(requestId)
       own?.witnesses
         .filter(witness => !own.heldBy.has(witness))
         .forEach(witness => slow.add(witness))
     }
-    for (const gone of slow) this.replaceWitness(gone)
+    for (const witness of slow) this.replaceWitness(witness)
   }
 
-  /** Another box takes the place of a witness that is gone or silent. */
+  /** Replaces a witness that exited or does not respond. If there is no other, flushes bills. */
   replaceWitness(gone: VoterId): void {
     const by = this.options.witnesses().find(witness => witness !== gone)
     this.post({ type: 'replace-witness', gone, ...(by && { by }) })
--- a/packages/box/src/tasks/claimTask.ts
+++ b/packages/box/src/tasks/claimTask.ts
@@ -21,19 +21,24 @@
   log: Log
 }
 
-/** A claim that this box holds, or the answer that an earlier attempt got. */
-export type Claimed = { held: HeldClaim } | { replay: KeptAnswer; attempt: string }
+/** A claim that this box now holds, or the stored answer of an earlier attempt. */
+export type ClaimOutcome = { held: HeldClaim } | { replay: KeptAnswer; attempt: string }
 
+/** The store row of a claim that this box holds. */
 export interface HeldClaim {
   key: string
   value: Claim
 }
 
-const SETTLE_TRIES = 240
-const SETTLE_PAUSE: Milliseconds = 1_000
-const LARGEST_KEPT_ANSWER = 32_768
+const MAX_SETTLE_ATTEMPTS = 240
+const SETTLE_RETRY_DELAY: Milliseconds = 1_000
+/** Longer answers are not stored for replay, in characters. */
+const MAX_STORED_BODY_LENGTH = 32_768
 
-/** Takes and settles claims on calls that may not be repeated. */
+/**
+ * Claims non-idempotent calls in the store, so that each runs at most once, and records how they
+ * ended.
+ */
 export class ClaimTask {
   readonly #creator: RowCreator
 
@@ -41,13 +46,13 @@
     this.#creator = new RowCreator(options.table, options.clock)
   }
 
-  /** Claims a call. One round trip to the store when nobody has claimed it before. */
+  /** Claims a call. Takes one round trip to the store if the call was not claimed before. */
   async claim(
     organisation: string,
     idempotencyKey: string,
     own: Pick<Claim, 'attempt' | 'digest'>,
     isFirstAttempt: boolean,
-  ): Promise<Result<Claimed, Refusal>> {
+  ): Promise<Result<ClaimOutcome, Refusal>> {
     const key = claimKey(organisation, idempotencyKey)
     const value: Claim = { ...own, step: 'claimed' }
     const held: HeldClaim = { key, value }
@@ -58,23 +63,28 @@
       case 'absent':
         return Result.err(refuseWithoutClaim(isFirstAttempt))
       case 'unknown':
-        // The row may stand; nothing will be sent under it, and the row is told so when the store answers.
+        // The row may exist. The call is not sent, and the row is settled once the store answers.
         this.settle(held, 'not-run')
         return Result.err(refuseWithoutClaim(isFirstAttempt))
       case 'exists': {
         const decision = decideClaim(JSON.parse(row.value) as Claim, row.version, own)
-        return this.#follow(decision, held)
+        return this.#applyDecision(decision, held)
       }
     }
   }
 
-  /** Notes how a claimed call ended. Goes on until the store has it. */
+  /**
+   * Records how a claimed call ended, in the background, retrying while the store is unavailable.
+   */
   settle(held: HeldClaim, step: 'not-run' | 'ran', answer?: KeptAnswer): void {
-    const isKept = answer && answer.body.length <= LARGEST_KEPT_ANSWER
-    void this.#settle(held, { ...held.value, step, ...(isKept && { answer }) })
+    const isStored = answer && answer.body.length <= MAX_STORED_BODY_LENGTH
+    void this.#settle(held, { ...held.value, step, ...(isStored && { answer }) })
   }
 
-  async #follow(decision: ClaimDecision, held: HeldClaim): Promise<Result<Claimed, Refusal>> {
+  async #applyDecision(
+    decision: ClaimDecision,
+    held: HeldClaim,
+  ): Promise<Result<ClaimOutcome, Refusal>> {
     switch (decision.decision) {
       case 'send':
         return Result.ok({ held })
@@ -87,8 +97,8 @@
     }
   }
 
-  /** The earlier attempt did not run: this one takes its row, unless another does so first. */
-  async #takeOver(held: HeldClaim, version: number): Promise<Result<Claimed, Refusal>> {
+  /** Takes over the row of an attempt that did not run, by compare-and-swap. */
+  async #takeOver(held: HeldClaim, version: number): Promise<Result<ClaimOutcome, Refusal>> {
     const { table } = this.options
     const { key, value } = held
     const outcome = await table.commit({
@@ -96,7 +106,7 @@
       writes: [{ key, value: JSON.stringify(value) }],
     })
     if (outcome === 'committed') return Result.ok({ held })
-    // The row said that no attempt ran before, so the refusal may say the same.
+    // The row showed that no earlier attempt ran, so the refusal may say so.
     if (outcome === 'unavailable') return Result.err(refuseWithoutClaim(true))
     const answer = await table.read([key])
     const row = answer.outcome === 'read' ? answer.rows[0] : undefined
@@ -106,17 +116,17 @@
     }
     const decision = decideClaim(JSON.parse(row.value) as Claim, row.version, value)
     if (decision.decision === 'take-over') return Result.err(refuseWithoutClaim(true))
-    return this.#follow(decision, held)
+    return this.#applyDecision(decision, held)
   }
 
   async #settle({ key, value }: HeldClaim, settled: Claim): Promise<void> {
     const { table, clock, log } = this.options
-    for (let tries = 0; tries < SETTLE_TRIES; tries++) {
+    for (let attempt = 0; attempt < MAX_SETTLE_ATTEMPTS; attempt++) {
       const answer = await table.read([key])
       if (answer.outcome === 'read') {
         const row = answer.rows[0]
-        const standing = row && (JSON.parse(row.value) as Claim)
-        const isOurs = standing?.attempt === value.attempt && standing.step === 'claimed'
+        const stored = row && (JSON.parse(row.value) as Claim)
+        const isOurs = stored?.attempt === value.attempt && stored.step === 'claimed'
         if (!row || !isOurs) return
         const outcome = await table.commit({
           conditions: [{ key, version: row.version }],
@@ -124,11 +134,11 @@
         })
         if (outcome === 'committed') return
       }
-      await sleep(clock, SETTLE_PAUSE)
+      await sleep(clock, SETTLE_RETRY_DELAY)
     }
     log.warn(
       { key },
-      'the end of a claimed call could not be written; callers are told it may have run',
+      'could not write the outcome of a claimed call; retries of it are told that it may have run',
     )
   }
 }
--- a/packages/box/src/tasks/crashSuspects.ts
+++ b/packages/box/src/tasks/crashSuspects.ts
@@ -16,81 +16,82 @@
 import { RecentCrashes } from './recentCrashes.js'
 import { SuspectTable, type Suspect, type Trial } from './suspectTable.js'
 
-/** The run of an upstream that ended, and the request that was aboard. */
-export interface CrashUnder {
+/** The crash of an upstream process, and a request that was in flight there. */
+export interface RequestCrash {
+  /** Digest of the request. */
   request: string
+  /** Suspicion of the request when it was sent to the process. */
   atSend: SuspicionAtSend
+  /** The upstream's process that crashed. */
   upstream: string
   service: string
   organisation?: string | undefined
   route: string
-  /** It came to a whole answer here a moment ago. */
+  /** The same request was answered completely at this box recently. */
   hasAnswered: boolean
 }
 
-/** Whether a request may be run now. */
-export type Turn =
+/** Whether a request may be sent to an upstream now. */
+export type Admission =
   | { type: 'free' }
-  /** It may be run by this request alone, which says how that ends. */
+  /** It may be sent as this trial, which the caller ends by `endTrial`. */
   | { type: 'trial'; trial: Trial }
+  /** It is quarantined. */
   | { type: 'condemned' }
-  /** It is still run elsewhere, and time is up. */
+  /** It was still on trial or held back at the deadline. */
   | { type: 'busy' }
 
 export interface CrashSuspectsOptions {
-  /** The run of this box. */
+  /** Process of this box, as the holder of its trials. */
   holder: string
   clock: Clock
   random: Random
-  /** A line of the log. */
+  /** Writes a log line. */
   note(event: string, fields: object): void
-  /** Tells the other boxes. */
+  /** Sends updates to the other boxes. */
   tell(news: readonly SuspectNews[]): void
-  /** Every box is linked to every other, so that news go one way once. */
+  /** Whether the boxes form a full mesh, in which each receives an update once. */
   isMesh(): boolean
-  /** This box has condemned a request. */
+  /** Called when a crash at this box quarantines a request. */
   onCondemned(entry: CondemnedEntry): void
 }
 
-/**
- * A run that has gone on for this long did not crash its upstream as it began; others need not wait for its end. Crashes seen came 45 to 120 ms after
- * the run began, and up to 0.3 s after it was sent.
- */
-const TRIAL_TIME: Milliseconds = 1_000
-/** Two boxes that claim a trial at the same moment have heard of each other by then: news take some 10 ms in a mesh. */
-const SETTLE_TIME: Milliseconds = 20
-/** Whoever waits for another's trial looks again after this. */
-const LOOK_AGAIN: Milliseconds = 12
-/** By then other boxes have told of what else ended at the same moment. */
-const DELIBERATION: Milliseconds = 150
-/** After an excuse each suspect waits for a time of its own up to this: five killers that came at the same moment would excuse each other. */
-const APART: Milliseconds = 400
-/** A suspect under which so many ended is tried at an upstream that gets nothing else meanwhile. */
+/** Crashes come sooner after the send, so others need not wait for a trial that takes longer. */
+const TRIAL_TIMEOUT: Milliseconds = 1_000
+/** Concurrent claims of other boxes arrive within this time. */
+const CLAIM_SETTLE_DELAY: Milliseconds = 20
+const POLL_INTERVAL: Milliseconds = 12
+/** Other boxes' reports of simultaneous crashes arrive within this time. */
+const CORRELATION_DELAY: Milliseconds = 150
+/** Maximum random delay of an excused suspect, which separates it from other suspects. */
+const MAX_EXCUSED_DELAY: Milliseconds = 400
+/** From this number of crashes on, a suspect's trial reserves its upstream. */
 export const ALONE_FROM = 2
-/** In the log and the store. */
-const MOST_TOLD_UPSTREAMS = 5
-/** In their order. */
-const TRIAL_STATES: ToldTrial['state'][] = ['claimed', 'sent', 'over']
+/** Newest crashed processes that are listed in the log and the store. */
+const MAX_REPORTED_UPSTREAMS = 5
+/** States of a trial in chronological order. */
+const TRIAL_STATE_ORDER: ToldTrial['state'][] = ['claimed', 'sent', 'over']
 
-/** Suspects on trial by the runs of upstreams, and whether these get nothing else meanwhile. */
+/** Number of trials by upstream process, and whether the process is reserved for them. */
 export type TrialsAt = ReadonlyMap<string, { count: number; isReserved: boolean }>
 
 /**
- * What the boxes know of requests that were at an upstream when its process ended.
+ * Finds the requests that crash upstream processes, jointly with the other boxes, and quarantines
+ * them, so that retries do not crash one upstream after another.
  *
- * A box that takes such an end for the upstream's fault alone sends the request on to the next, and so does each other box: 37 upstreams
- * ended under one stream. So each crash is held against all requests that were aboard, and told; a whole answer clears the request,
- * so that the innocent are cleared by their next run. A suspect is run by one box at a time, away from other suspects,
- * and from the second crash on at an upstream that gets nothing else meanwhile, so that the third crash says whose doing it was.
+ * A crash makes suspects of all requests in flight at the process; a complete answer clears a
+ * request. A suspect is on trial at one box at a time and apart from other suspects. From
+ * `ALONE_FROM` crashes on its upstream is reserved for it, so that another crash identifies the
+ * cause.
  */
 export class CrashSuspects {
-  /** Requests that came to a whole answer here a moment ago. */
+  /** Requests that were answered completely at this box recently. */
   readonly answers: RecentAnswers
   readonly #suspects: SuspectTable
-  /** Those that are on trial somewhere; some of their trials may be over. */
-  readonly #onTrial = new Set<Suspect>()
+  /** Suspects with a trial at any box, possibly over or timed out. */
+  readonly #suspectsOnTrial = new Set<Suspect>()
   readonly #crashes: RecentCrashes
-  #trials = 0
+  #trialCount = 0
 
   constructor(private readonly options: CrashSuspectsOptions) {
     this.answers = new RecentAnswers(options.clock)
@@ -98,132 +99,137 @@
     this.#crashes = new RecentCrashes(options.clock)
   }
 
-  /** Nothing is held against any request, so that none need be looked up. */
+  /** Whether there are no entries, so that requests need no digest. */
   get isEmpty(): boolean {
     return this.#suspects.size === 0
   }
 
-  /** What is held against a request now. A copy: a run counts by what was known when it was sent, whatever comes of others meanwhile. */
+  /** A copy of a request's suspicion, to pass as `atSend` if a process crashes under it. */
   find(request: string): Suspicion {
     const { epoch, crashes, excused, isCondemned } = this.#suspects.find(request) ?? UNSUSPECTED
     return { epoch, crashes, excused, isCondemned }
   }
 
-  /** Waits until a request may be run. */
-  async takeTurn(request: string, until: Milliseconds): Promise<Turn> {
+  /** Waits until a request may be sent to an upstream, until `until` at most. */
+  async takeTurn(request: string, until: Milliseconds): Promise<Admission> {
     const { clock } = this.options
     for (;;) {
       const suspect = this.#suspects.find(request)
       if (!suspect || suspect.crashes === 0) return { type: 'free' }
       if (suspect.isCondemned) return { type: 'condemned' }
-      const trial = this.#trialOf(suspect)
+      const trial = this.#activeTrial(suspect)
       if (suspect.isFree) return { type: 'free' }
       if (!trial && clock.now() >= suspect.heldUntil) {
-        const own = this.#claim(suspect, TRIAL_TIME)
-        this.#tell(suspect)
-        await sleep(clock, SETTLE_TIME)
+        const own = this.#claimTrial(suspect, TRIAL_TIMEOUT)
+        this.#broadcast(suspect)
+        await sleep(clock, CLAIM_SETTLE_DELAY)
         if (suspect.trial === own) return { type: 'trial', trial: own }
         continue
       }
       if (clock.now() >= until) return { type: 'busy' }
-      await sleep(clock, LOOK_AGAIN)
+      await sleep(clock, POLL_INTERVAL)
     }
   }
 
-  /** A trial of this box. `stands` at most. */
-  #claim(suspect: Suspect, stands: Milliseconds): Trial {
+  /** Starts a trial of this box that expires after `timeout`. */
+  #claimTrial(suspect: Suspect, timeout: Milliseconds): Trial {
     const { clock, holder } = this.options
-    const until = clock.now() + stands
-    const trial: Trial = { holder, number: ++this.#trials, state: 'claimed', until }
+    const until = clock.now() + timeout
+    const trial: Trial = { holder, number: ++this.#trialCount, state: 'claimed', until }
     this.#setTrial(suspect, trial)
     return trial
   }
 
   #setTrial(suspect: Suspect, trial: Trial): void {
     suspect.trial = trial
-    this.#onTrial.add(suspect)
+    this.#suspectsOnTrial.add(suspect)
   }
 
-  /** A suspect on trial here was sent to an upstream. */
+  /** Records that a suspect on trial was sent to an upstream process. */
   noteSent(request: string, trial: Trial, upstream: string): void {
     const suspect = this.#suspects.find(request)
     if (suspect?.trial !== trial) return
     trial.state = 'sent'
     trial.upstream = upstream
-    trial.until = this.options.clock.now() + TRIAL_TIME
-    this.#tell(suspect)
+    trial.until = this.options.clock.now() + TRIAL_TIMEOUT
+    this.#broadcast(suspect)
   }
 
-  /** A trial here has ended, whatever came of it. */
+  /** Ends a trial of this box, whatever its result. */
   endTrial(request: string, trial: Trial): void {
     const suspect = this.#suspects.find(request)
     if (suspect?.trial !== trial) return
     trial.state = 'over'
-    this.#tell(suspect)
+    this.#broadcast(suspect)
     suspect.trial = undefined
   }
 
-  /** The request came to a whole answer. */
+  /** Clears a request that was answered completely. */
   noteWhole(request: string): void {
     const suspect = this.#suspects.find(request)
     if (!suspect || suspect.crashes === 0) return
     if (suspect.isCondemned) this.options.note('request-cleared', { request })
     this.#suspects.change(suspect, noteWholeAnswer(suspect))
-    this.#tell(suspect)
+    this.#broadcast(suspect)
   }
 
-  /** An upstream has ended with a request aboard. */
-  noteCrash(crash: CrashUnder): void {
+  /** Records the crash of an upstream process with a request in flight. */
+  noteCrash(crash: RequestCrash): void {
     const { request, upstream, service, atSend, hasAnswered } = crash
     const { clock } = this.options
     this.#crashes.note(upstream, service, request, atSend.crashes > 0)
-    // A good request that all callers send is aboard of every upstream that ends, before any of its next runs comes to an answer.
+    // A popular request is in flight at most processes that crash; its recent answer clears it.
     if (hasAnswered) return
     const suspect = this.#suspects.findOrAdd(request, { ...UNSUSPECTED, ...atSend })
-    suspect.upstreams = [...suspect.upstreams, upstream].slice(-MOST_TOLD_UPSTREAMS)
+    suspect.upstreams = [...suspect.upstreams, upstream].slice(-MAX_REPORTED_UPSTREAMS)
     if (atSend.crashes === 0) {
-      this.#count(suspect, crash, false)
-      clock.after(DELIBERATION, () => this.#tellFirst(suspect, crash))
+      this.#countCrash(suspect, crash, false)
+      clock.after(CORRELATION_DELAY, () => this.#broadcastFirstCrash(suspect, crash))
       return
     }
-    // Nobody runs it until it is known what else ended at the same moment.
-    this.#claim(suspect, DELIBERATION + SETTLE_TIME)
-    this.#tell(suspect, { upstream, service, wasSuspect: true })
-    clock.after(DELIBERATION, () => this.#count(suspect, crash, this.#isExcused(suspect, crash)))
+    // Holds the request back until simultaneous crashes are known.
+    this.#claimTrial(suspect, CORRELATION_DELAY + CLAIM_SETTLE_DELAY)
+    this.#broadcast(suspect, { upstream, service, wasSuspect: true })
+    clock.after(CORRELATION_DELAY, () =>
+      this.#countCrash(suspect, crash, this.#isExcused(suspect, crash)),
+    )
   }
 
-  /** In a large fleet the first crash of a request is told only where it can be the cause: see `#tell`. */
-  #tellFirst(suspect: Suspect, { request, upstream, service }: CrashUnder): void {
+  /** Broadcasts a first crash unless many upstreams crashed simultaneously without the request. */
+  #broadcastFirstCrash(suspect: Suspect, { request, upstream, service }: RequestCrash): void {
     if (suspect.isKnown || suspect.crashes !== 1) return
     if (this.#crashes.isOneOfMany(upstream, request)) return
     suspect.isKnown = true
-    this.#tell(suspect, { upstream, service, wasSuspect: false })
+    this.#broadcast(suspect, { upstream, service, wasSuspect: false })
   }
 
-  #isExcused({ excused }: Suspect, { request, upstream }: CrashUnder): boolean {
+  #isExcused({ excused }: Suspect, { request, upstream }: RequestCrash): boolean {
     return excused < MOST_EXCUSED && this.#crashes.isOneOfMany(upstream, request)
   }
 
-  #count(suspect: Suspect, crash: CrashUnder, isExcused: boolean): void {
+  #countCrash(suspect: Suspect, crash: RequestCrash, isExcused: boolean): void {
     const { request, upstream, service, atSend } = crash
     const next = noteCrashUnder(suspect, atSend, isExcused)
     if (next === suspect) return
     this.#suspects.change(suspect, next)
     if (isExcused) {
       this.options.note('suspect-excused', { request, upstream, excused: suspect.excused })
-      suspect.heldUntil = this.options.clock.now() + this.options.random() * APART
+      suspect.heldUntil = this.options.clock.now() + this.options.random() * MAX_EXCUSED_DELAY
     }
-    this.#tell(suspect, { upstream, service, wasSuspect: atSend.crashes > 0 })
-    if (suspect.isCondemned) this.#condemn(suspect, crash)
+    this.#broadcast(suspect, { upstream, service, wasSuspect: atSend.crashes > 0 })
+    if (suspect.isCondemned) this.#reportQuarantine(suspect, crash)
   }
 
-  #condemn({ request, crashes, upstreams }: Suspect, { organisation, route }: CrashUnder): void {
+  #reportQuarantine(
+    { request, crashes, upstreams }: Suspect,
+    { organisation, route }: RequestCrash,
+  ): void {
     const { note, onCondemned } = this.options
     note('request-condemned', { request, organisation, route, crashes, upstreams })
     onCondemned({ request, crashes, ...(organisation && { organisation }), route, upstreams })
   }
 
-  /** Condemned by runs of boxes before this one. The others are told, too: they start at the same moment. */
+  /** Adds stored quarantined requests and sends those that are new here to the other boxes. */
   takeCondemned(entries: readonly CondemnedEntry[]): void {
     const news = entries.map(({ request, crashes }) => ({
       ...UNSUSPECTED,
@@ -234,13 +240,13 @@
     this.options.tell(this.take(news))
   }
 
-  /** Takes what another box tells. Gives what of it was news. */
+  /** Merges updates of another box. Returns those that changed anything, to be relayed. */
   take(news: readonly SuspectNews[]): SuspectNews[] {
-    return news.filter(told => this.#take(told))
+    return news.filter(update => this.#mergeUpdate(update))
   }
 
-  #take(told: SuspectNews): boolean {
-    const { request, epoch, crashes, excused, isCondemned, trial, crashed } = told
+  #mergeUpdate(update: SuspectNews): boolean {
+    const { request, epoch, crashes, excused, isCondemned, trial, crashed } = update
     if (crashed) this.#crashes.note(crashed.upstream, crashed.service, request, crashed.wasSuspect)
     const suspect = this.#suspects.findOrAdd(request)
     const next = mergeSuspicion(suspect, { epoch, crashes, excused, isCondemned })
@@ -251,38 +257,38 @@
     }
     suspect.isKnown = true
     const isSame = suspect.epoch === epoch && suspect.crashes === crashes
-    return (isSame && trial !== undefined && this.#takeTrial(suspect, trial)) || isNews
+    return (isSame && trial !== undefined && this.#mergeTrial(suspect, trial)) || isNews
   }
 
-  /** True if that is news. */
-  #takeTrial(suspect: Suspect, told: ToldTrial): boolean {
-    if (told.holder === this.options.holder) return false
-    if (!isLater(told, suspect.told.get(told.holder))) return false
-    suspect.told.set(told.holder, told)
-    const trial = this.#trialOf(suspect)
-    if (told.state === 'over') {
-      if (trial?.holder === told.holder) suspect.trial = undefined
+  /** Merges a trial of another box. Returns whether it is newer than the known state. */
+  #mergeTrial(suspect: Suspect, update: ToldTrial): boolean {
+    if (update.holder === this.options.holder) return false
+    if (!isLater(update, suspect.told.get(update.holder))) return false
+    suspect.told.set(update.holder, update)
+    const trial = this.#activeTrial(suspect)
+    if (update.state === 'over') {
+      if (trial?.holder === update.holder) suspect.trial = undefined
       return true
     }
-    // Of two that claim at the same moment the one goes first whose name does; a run that was sent cannot be taken back.
-    const isFirst = !trial || trial.holder === told.holder || told.holder < trial.holder
+    // Of concurrent claims the lower holder id wins; a trial that was already sent continues.
+    const isFirst = !trial || trial.holder === update.holder || update.holder < trial.holder
     if (trial?.state === 'sent' || !isFirst) return true
-    this.#setTrial(suspect, { ...told, until: this.options.clock.now() + TRIAL_TIME })
+    this.#setTrial(suspect, { ...update, until: this.options.clock.now() + TRIAL_TIMEOUT })
     return true
   }
 
-  /** All that is known, for a box that has just been linked. */
+  /** All shared suspects, for a newly connected box. */
   all(): SuspectNews[] {
     const known = this.#suspects.all().filter(({ crashes, isKnown }) => crashes > 0 && isKnown)
-    return known.map(newsOf)
+    return known.map(toUpdate)
   }
 
-  /** Where suspects are on trial now. */
+  /** Current trials by upstream process. */
   trialsAt(): TrialsAt {
     const trials = new Map<string, { count: number; isReserved: boolean }>()
-    for (const suspect of this.#onTrial) {
-      const trial = this.#trialOf(suspect)
-      if (!trial) this.#onTrial.delete(suspect)
+    for (const suspect of this.#suspectsOnTrial) {
+      const trial = this.#activeTrial(suspect)
+      if (!trial) this.#suspectsOnTrial.delete(suspect)
       const upstream = trial?.upstream
       if (upstream === undefined) continue
       const at = trials.get(upstream) ?? { count: 0, isReserved: false }
@@ -293,13 +299,13 @@
     return trials
   }
 
-  /** Forgets what has lapsed. Gives the condemned requests among it. */
+  /** Removes expired entries. Returns the quarantined requests among them. */
   forgetLapsed(): string[] {
     return this.#suspects.takeLapsed()
   }
 
-  /** The trial that stands. One that has outlasted its time leaves the request free to be run until it crashes another. */
-  #trialOf(suspect: Suspect): Trial | undefined {
+  /** The current trial. After a sent one times out, the request needs none until its next crash. */
+  #activeTrial(suspect: Suspect): Trial | undefined {
     const { trial } = suspect
     if (!trial || this.options.clock.now() < trial.until) return trial
     suspect.trial = undefined
@@ -308,30 +314,38 @@
   }
 
   /**
-   * Where news go round a ring, each box hears each of them from some eight neighbours. All that were aboard of some twenty upstreams that end at once would be
-   * 0.8 MB for each of 195 boxes (reckoned: 8 requests aboard of each, 4 news of 150 bytes): there only what has a second crash is told of at once.
+   * Sends an update to the other boxes. Without a full mesh each box receives it from several
+   * neighbours, so a suspect with one crash is not sent until it is shared: a mass crash would
+   * flood the links.
    */
-  #tell(suspect: Suspect, crashed?: SuspectNews['crashed']): void {
-    const isTold = this.options.isMesh() || suspect.isKnown || suspect.crashes >= ALONE_FROM
-    if (!isTold) return
+  #broadcast(suspect: Suspect, crashed?: SuspectNews['crashed']): void {
+    const isShared = this.options.isMesh() || suspect.isKnown || suspect.crashes >= ALONE_FROM
+    if (!isShared) return
     suspect.isKnown = true
-    this.options.tell([{ ...newsOf(suspect), ...(crashed && { crashed }) }])
+    this.options.tell([{ ...toUpdate(suspect), ...(crashed && { crashed }) }])
   }
 }
 
-/** Whether what is told of a holder's trial is of a later one, or of a later state of the same. */
-function isLater(told: ToldTrial, known: ToldTrial | undefined): boolean {
-  if (!known || told.number !== known.number) return !known || told.number > known.number
-  return TRIAL_STATES.indexOf(told.state) > TRIAL_STATES.indexOf(known.state)
+/** Whether an update is about a later trial of the holder, or a later state of the same trial. */
+function isLater(update: ToldTrial, known: ToldTrial | undefined): boolean {
+  if (!known || update.number !== known.number) return !known || update.number > known.number
+  return TRIAL_STATE_ORDER.indexOf(update.state) > TRIAL_STATE_ORDER.indexOf(known.state)
 }
 
-function newsOf(suspect: Suspect): SuspectNews {
+function toUpdate(suspect: Suspect): SuspectNews {
   const { request, epoch, crashes, excused, isCondemned, trial } = suspect
-  const told = trial && {
+  const trialUpdate = trial && {
     holder: trial.holder,
     number: trial.number,
     state: trial.state,
     ...(trial.upstream !== undefined && { upstream: trial.upstream }),
   }
-  return { request, epoch, crashes, excused, isCondemned, ...(told && { trial: told }) }
+  return {
+    request,
+    epoch,
+    crashes,
+    excused,
+    isCondemned,
+    ...(trialUpdate && { trial: trialUpdate }),
+  }
 }
--- a/packages/box/src/tasks/createTask.ts
+++ b/packages/box/src/tasks/createTask.ts
@@ -3,7 +3,7 @@
 import { fromEvent, type Stream } from 'most'
 import type { Log } from '../types/ports.js'
 
-/** Owns a state. Others reach it by posting messages. */
+/** Owns a state that other code changes only by posting messages. */
 export interface Task<Message> {
   post(message: Message): void
 }
@@ -12,7 +12,9 @@
   name: string
   state: State
   transition: Transition<State, Message, Effect>
-  /** Carries out one effect. Messages that it posts are taken after all effects of the present one. */
+  /**
+   * Runs one effect. Messages that it posts are processed after all effects of the current message.
+   */
   run(effect: Effect): void
   clock: Clock
   log: Log
@@ -20,7 +22,10 @@
 
 const MESSAGE = 'message'
 
-/** A task: a stream of messages, a transition over the state, and its effects carried out in order. */
+/**
+ * Creates a task that applies `transition` to each message and runs the resulting effects in order.
+ * It stops, with an error in the log, when either throws.
+ */
 export function createTask<State, Message, Effect>(
   options: TaskOptions<State, Message, Effect>,
 ): Task<Message> {
@@ -31,22 +36,25 @@
   effects
     .observe(list => list.forEach(run))
     .catch((error: unknown) =>
-      log.error({ task: name, error: String(error) }, 'the task has ended'),
+      log.error(
+        { task: name, error: String(error) },
+        'task stopped: its transition or an effect threw an error',
+      ),
     )
   return createMailbox(message => emitter.emit(MESSAGE, message))
 }
 
-/** Hands on one message at a time, in the order in which they were posted. */
+/** Delivers messages one at a time in posting order; those posted during a delivery are queued. */
 function createMailbox<Message>(deliver: (message: Message) => void): Task<Message> {
-  const waiting: Message[] = []
+  const queue: Message[] = []
   let isDelivering = false
   return {
     post(message) {
-      waiting.push(message)
+      queue.push(message)
       if (isDelivering) return
       isDelivering = true
       try {
-        for (let next = waiting.shift(); next !== undefined; next = waiting.shift()) deliver(next)
+        for (let next = queue.shift(); next !== undefined; next = queue.shift()) deliver(next)
       } finally {
         isDelivering = false
       }
--- a/packages/box/src/tasks/every.ts
+++ b/packages/box/src/tasks/every.ts
@@ -1,6 +1,6 @@
 import type { Clock, Milliseconds, Timer } from '@yewkeel/decisions'
 
-/** Runs a callback again and again until cancelled. The next run is timed from the end of the last. */
+/** Calls `callback` periodically until cancelled. Each interval starts after the previous call. */
 export function every(
   clock: Clock,
   interval: Milliseconds | (() => Milliseconds),
--- a/packages/box/src/tasks/exposureTask.ts
+++ b/packages/box/src/tasks/exposureTask.ts
@@ -30,51 +30,54 @@
 import type { Log, Metrics, Platform } from '../types/ports.js'
 import { every } from './every.js'
 
-/** What a served answer is remembered by until its rating comes. */
+/** An answer that has not been rated yet. */
 export interface ServedAnswer {
   organisation: string
   kind: string
   model: string
   version: string
   bucket?: number
-  /** What the plan of its cascade promised. */
+  /** Probability of a good answer that the cascade's plan expected, from 0 to 1. */
   promised?: number
 }
 
 export interface ExposureTaskOptions {
   self: VoterId
-  /** Prefix of this box's request ids. */
+  /** Prefix of this box's request ids, which selects its ratings. */
   router: string
   table: TableService
   readRatings: Platform['readRatings']
   clock: Clock
   log: Log
   metrics: Metrics
-  /** Versions of each model that take new sessions now, as `model@version`. */
+  /** For each model the versions that take new sessions, as `model@version`. */
   competingVersions(): string[][]
   onRating(answer: ServedAnswer, good: boolean): void
-  /** Whether any upstream is proved to run a version. */
+  /** Whether some upstream is confirmed to run a version. */
   isServed(version: string): boolean
   boxCount(): number
 }
 
-const RATINGS_EVERY: Milliseconds = 1_000
-const JUDGE_EVERY: Milliseconds = 500
-const HALTS_EVERY: Milliseconds = 2_000
-const REMEMBERED_ANSWERS = 60_000
+const RATINGS_POLL_INTERVAL: Milliseconds = 1_000
+const JUDGE_INTERVAL: Milliseconds = 500
+const HALTS_SYNC_INTERVAL: Milliseconds = 2_000
+const MAX_UNRATED_ANSWERS = 60_000
 
-/** Gathers evidence about versions and halts those that are shown to be worse. */
+/**
+ * Collects ratings by version, exchanges them with the other boxes and halts versions that rate
+ * worse.
+ */
 export class ExposureTask implements VersionBounds {
   readonly #evidence
   readonly #halts: Halts = new Map()
-  readonly #unsaved = new Map<string, Halt>()
-  readonly #served = new Map<string, ServedAnswer>()
-  readonly #sentToPeer = new Map<VoterId, number>()
+  readonly #unsavedHalts = new Map<string, Halt>()
+  readonly #unratedAnswers = new Map<string, ServedAnswer>()
+  readonly #lastSentChange = new Map<VoterId, number>()
   readonly #judgements = new Map<string, VersionJudgement>()
-  /** Answers since the last judgement, taken off the room that it left. */
-  readonly #servedSince = new Map<string, number>()
+  /** Answers of each version since the last judgement, which use up its room. */
+  readonly #servedSinceJudgement = new Map<string, number>()
   #totals: EvidenceTotals = new Map()
-  #cursor = 0
+  #ratingsCursor = 0
   #timers: { cancel(): void }[] = []
 
   constructor(private readonly options: ExposureTaskOptions) {
@@ -85,9 +88,9 @@
     const { clock } = this.options
     void this.readHalts()
     this.#timers = [
-      every(clock, RATINGS_EVERY, () => this.#readRatings()),
-      every(clock, JUDGE_EVERY, () => this.judge()),
-      every(clock, HALTS_EVERY, () => this.#syncHalts()),
+      every(clock, RATINGS_POLL_INTERVAL, () => this.#readRatings()),
+      every(clock, JUDGE_INTERVAL, () => this.judge()),
+      every(clock, HALTS_SYNC_INTERVAL, () => this.#syncHalts()),
     ]
   }
 
@@ -99,11 +102,11 @@
     return isHalted(this.#halts, version)
   }
 
-  /** This box's part of the answers that a version may give before more ratings come. */
+  /** This box's share of the answers that a version may still give before more ratings arrive. */
   roomOf(version: string): number {
     const room = this.#judgements.get(version)?.room ?? Infinity
-    const part = room / Math.max(1, this.options.boxCount())
-    return Math.ceil(part) - (this.#servedSince.get(version) ?? 0)
+    const share = room / Math.max(1, this.options.boxCount())
+    return Math.ceil(share) - (this.#servedSinceJudgement.get(version) ?? 0)
   }
 
   isServed(version: string): boolean {
@@ -118,101 +121,113 @@
     return [...this.#judgements.values()]
   }
 
-  /** Answers given and rated, by version, over all boxes. */
+  /** Answers that a version gave, and how many of them were rated, over all boxes. */
   countsOf(version: string): { served: number; rated: number } {
     return rampStateOf(evidenceOf(this.#totals, this.#halts, version))
   }
 
+  /** Counts an answer and keeps it until it is rated; beyond a limit the oldest are dropped. */
   noteServed(requestId: string, answer: ServedAnswer): void {
     const version = formatVersion(answer)
-    this.#served.set(requestId, answer)
-    this.#servedSince.set(version, (this.#servedSince.get(version) ?? 0) + 1)
-    this.#add(answer, { served: 1 })
-    for (const oldest of this.#served.keys()) {
-      if (this.#served.size <= REMEMBERED_ANSWERS) break
-      this.#served.delete(oldest)
+    this.#unratedAnswers.set(requestId, answer)
+    this.#servedSinceJudgement.set(version, (this.#servedSinceJudgement.get(version) ?? 0) + 1)
+    this.#addEvidence(answer, { served: 1 })
+    for (const oldest of this.#unratedAnswers.keys()) {
+      if (this.#unratedAnswers.size <= MAX_UNRATED_ANSWERS) break
+      this.#unratedAnswers.delete(oldest)
     }
   }
 
-  noteRating(requestId: string, good: boolean): void {
-    const answer = this.#served.get(requestId)
+  /**
+   * Counts the rating of an answer of this box; ignored if the answer is not kept or already rated.
+   */
+  recordRating(requestId: string, good: boolean): void {
+    const answer = this.#unratedAnswers.get(requestId)
     if (!answer) return
-    this.#served.delete(requestId)
-    this.#add(answer, good ? { good: 1 } : { bad: 1 })
+    this.#unratedAnswers.delete(requestId)
+    this.#addEvidence(answer, good ? { good: 1 } : { bad: 1 })
     this.options.onRating(answer, good)
   }
 
-  /** Evidence that the peer has not been sent yet. */
+  /** Evidence of this box that changed since the last call for this peer. */
   evidenceFor(peer: VoterId): EvidenceCounter[] {
-    const news = ownEvidenceSince(this.#evidence, this.#sentToPeer.get(peer) ?? 0)
-    this.#sentToPeer.set(peer, this.#evidence.changes)
-    return news
+    const unsent = ownEvidenceSince(this.#evidence, this.#lastSentChange.get(peer) ?? 0)
+    this.#lastSentChange.set(peer, this.#evidence.changes)
+    return unsent
   }
 
-  /** The link to a peer is new: it is sent all again. */
+  /** Sends a newly connected peer all evidence again. */
   resetPeer(peer: VoterId): void {
-    this.#sentToPeer.delete(peer)
+    this.#lastSentChange.delete(peer)
   }
 
+  /** Merges the evidence and halts of another box. */
   hear(evidence: readonly EvidenceCounter[], halts: readonly Halt[]): void {
     mergeEvidence(this.#evidence, evidence)
-    for (const halt of halts) this.#takeHalt(halt)
+    for (const halt of halts) this.#applyHalt(halt)
   }
 
-  /** Halts what the evidence shows to be worse. */
+  /** Compares the competing versions and halts those that the evidence shows to be worse. */
   judge(): void {
     const { clock, competingVersions, log, metrics } = this.options
     foldOldEvidence(this.#evidence, blockOf(clock.wallTime()))
     this.#totals = totalEvidence(this.#evidence)
     this.#judgements.clear()
-    this.#servedSince.clear()
+    this.#servedSinceJudgement.clear()
     for (const versions of competingVersions()) {
       for (const judgement of judgeVersions(this.#totals, this.#halts, versions)) {
         this.#judgements.set(judgement.version, judgement)
         if (!judgement.shownWorse) continue
         const halt = proposeHalt(this.#halts, judgement.version, 'ratings show it to be worse')
         if (!halt) continue
-        log.warn({ version: halt.version }, 'a version is halted: its ratings show it to be worse')
+        log.warn(
+          { version: halt.version },
+          'version halted: its ratings are worse than those of the incumbent',
+        )
         metrics.count('versions.halted')
-        this.#takeHalt(halt)
-        this.#unsaved.set(halt.version, halt)
+        this.#applyHalt(halt)
+        this.#unsavedHalts.set(halt.version, halt)
       }
     }
     void this.#saveHalts()
   }
 
-  /** An operator's own halt of a version. */
+  /** Halts a version for an operator; returns the existing halt if it is already halted. */
   async halt(version: string, reason: string): Promise<Halt> {
     const halt = proposeHalt(this.#halts, version, reason) ?? this.#halts.get(version)!
-    this.#takeHalt(halt)
-    this.#unsaved.set(version, halt)
+    this.#applyHalt(halt)
+    this.#unsavedHalts.set(version, halt)
     await this.#saveHalts()
     return halt
   }
 
-  /** An operator lifts a halt. Undefined when none stands; false when the store did not take it. */
+  /**
+   * Lifts a halt for an operator. Undefined if the version is not halted; false if the write
+   * failed.
+   */
   async lift(version: string, operator: string): Promise<Halt | undefined | false> {
     await this.readHalts()
     const known = this.#halts.get(version)
     if (known?.state !== 'halted') return undefined
     const lifted = liftHalt(known, operator, blockOf(this.options.clock.wallTime()))
-    this.#unsaved.set(version, lifted)
+    this.#unsavedHalts.set(version, lifted)
     if (!(await this.#save(lifted))) {
-      this.#unsaved.delete(version)
+      this.#unsavedHalts.delete(version)
       return false
     }
-    this.#takeHalt(lifted)
+    this.#applyHalt(lifted)
     return lifted
   }
 
+  /** Merges the stored halts. False if the store did not answer. */
   async readHalts(): Promise<boolean> {
     const answer = await this.options.table.list(HALT_PREFIX)
     if (answer.outcome !== 'read') return false
-    for (const row of answer.rows) this.#takeHalt(JSON.parse(row.value) as Halt)
+    for (const row of answer.rows) this.#applyHalt(JSON.parse(row.value) as Halt)
     return true
   }
 
-  #add(
+  #addEvidence(
     answer: ServedAnswer,
     added: Partial<Pick<EvidenceCounter, 'served' | 'good' | 'bad'>>,
   ): void {
@@ -220,9 +235,9 @@
     addEvidence(this.#evidence, { version: formatVersion(answer), kind: answer.kind, block }, added)
   }
 
-  #takeHalt(halt: Halt): void {
+  #applyHalt(halt: Halt): void {
     if (!mergeHalt(this.#halts, halt)) return
-    this.options.log.info({ ...halt }, 'the halt of a version has changed')
+    this.options.log.info({ ...halt }, 'halt state of a version changed')
   }
 
   async #syncHalts(): Promise<void> {
@@ -231,34 +246,37 @@
   }
 
   async #saveHalts(): Promise<void> {
-    for (const halt of [...this.#unsaved.values()]) await this.#save(halt)
+    for (const halt of [...this.#unsavedHalts.values()]) await this.#save(halt)
   }
 
-  /** Writes a halt unless the store holds one that goes before it. */
+  /**
+   * Writes a halt by compare-and-swap unless the stored one takes precedence. False if it is not
+   * stored.
+   */
   async #save(halt: Halt): Promise<boolean> {
     const key = haltKey(halt.version)
     const answer = await this.options.table.read([key])
     if (answer.outcome !== 'read') return false
     const row = answer.rows[0]
-    const standing = row && (JSON.parse(row.value) as Halt)
-    const scratch: Halts = new Map(standing ? [[standing.version, standing]] : [])
-    if (!mergeHalt(scratch, halt)) {
-      this.#unsaved.delete(halt.version)
-      return standing?.state === halt.state && standing.generation === halt.generation
+    const stored = row && (JSON.parse(row.value) as Halt)
+    const storedHalts: Halts = new Map(stored ? [[stored.version, stored]] : [])
+    if (!mergeHalt(storedHalts, halt)) {
+      this.#unsavedHalts.delete(halt.version)
+      return stored?.state === halt.state && stored.generation === halt.generation
     }
     const outcome = await this.options.table.commit({
       conditions: [{ key, version: row?.version ?? 0 }],
       writes: [{ key, value: JSON.stringify(halt) }],
     })
     if (outcome !== 'committed') return false
-    if (this.#unsaved.get(halt.version) === halt) this.#unsaved.delete(halt.version)
+    if (this.#unsavedHalts.get(halt.version) === halt) this.#unsavedHalts.delete(halt.version)
     return true
   }
 
   async #readRatings(): Promise<void> {
-    const answer = await this.options.readRatings(this.#cursor, this.options.router)
+    const answer = await this.options.readRatings(this.#ratingsCursor, this.options.router)
     if (!answer) return
-    this.#cursor = answer.cursor
-    for (const rating of answer.ratings) this.noteRating(rating.requestId, rating.good)
+    this.#ratingsCursor = answer.cursor
+    for (const rating of answer.ratings) this.recordRating(rating.requestId, rating.good)
   }
 }
--- a/packages/box/src/tasks/membershipTask.ts
+++ b/packages/box/src/tasks/membershipTask.ts
@@ -15,7 +15,7 @@
 import type { Log, PeerAddress, PeerTransport } from '../types/ports.js'
 import { every } from './every.js'
 
-/** The parts of a heartbeat that other tasks fill in. */
+/** The fields of a heartbeat that other tasks supply. */
 export type HeartbeatContent = Omit<Heartbeat, 'type' | 'sequence' | 'echo' | 'state' | 'gone'>
 
 export interface MembershipOptions {
@@ -26,69 +26,71 @@
   log: Log
   /** Content for one peer. */
   contentFor(peer: VoterId): HeartbeatContent
+  /** `askedAt`: when this box sent the heartbeat that the peer echoes; -Infinity if unknown. */
   onHeartbeat(from: VoterId, heartbeat: Heartbeat, askedAt: Milliseconds): void
   onMessage(from: PeerIdentity, message: PeerMessage): void
   onConnected(peer: PeerIdentity): void
-  /** The box has been silent for long; it may be paused. */
+  /** No heartbeat for `SILENCE_TIMEOUT`; the box may only be paused. */
   onSilent(peer: VoterId): void
-  /** The incarnation is known not to run any more. */
+  /** The incarnation is known to have exited. */
   onGone(peer: VoterId): void
 }
 
-/** What is known of a peer. */
+/** Last known state of a peer. */
 export interface PeerView {
   identity: PeerIdentity
   state: BoxState
   load: number
-  heardAt: Milliseconds
+  lastSeenAt: Milliseconds
   lastSequence: number
   isSilent: boolean
 }
 
-export const HEARTBEAT_EVERY: Milliseconds = 500
-/** A box that was not heard for this long is not offered to callers. */
-const UNLISTED_AFTER: Milliseconds = 2_500
-/** A box that was not heard for this long has its bills taken over. */
-const SILENT_AFTER: Milliseconds = 10_000
-/** A box that is off the platform's list and silent for this long does not run any more. */
-const GONE_AFTER: Milliseconds = 30_000
-const FORGET_AFTER: Milliseconds = 600_000
+export const HEARTBEAT_INTERVAL: Milliseconds = 500
+/** A box without a heartbeat for this long is no longer live and not listed to callers. */
+const LIVE_TIMEOUT: Milliseconds = 2_500
+/** A box without a heartbeat for this long has its bills taken over. */
+const SILENCE_TIMEOUT: Milliseconds = 10_000
+/** A box that the platform does not list and without a heartbeat for this long counts as exited. */
+const GONE_TIMEOUT: Milliseconds = 30_000
+/** A box without a heartbeat for this long is removed, whether or not it has exited. */
+const FORGET_TIMEOUT: Milliseconds = 600_000
 
-/** Knows the other boxes: keeps links to them, sends and hears heartbeats, and notes who falls silent. */
+/** Links to the other boxes, exchanges heartbeats and detects silent and exited boxes. */
 export class MembershipTask {
   readonly #peers = new Map<VoterId, PeerView>()
-  readonly #addresses = new Map<string, PeerAddress>()
+  readonly #peerAddresses = new Map<string, PeerAddress>()
   readonly #gone = new Set<VoterId>()
-  readonly #sentAt = new Map<number, Milliseconds>()
+  readonly #heartbeatSentAt = new Map<number, Milliseconds>()
   #listed: ReadonlySet<string> | undefined
   #sequence = 0
   #state: BoxState = 'starting'
   #timer: { cancel(): void } | undefined
 
   constructor(private readonly options: MembershipOptions) {
-    for (const address of options.seeds) this.#addresses.set(address, { address })
-    this.#addresses.delete(options.self.peerAddress)
+    for (const address of options.seeds) this.#peerAddresses.set(address, { address })
+    this.#peerAddresses.delete(options.self.peerAddress)
     options.transport.listen({
-      onMessage: (from, message) => this.#hear(from, message),
+      onMessage: (from, message) => this.#receive(from, message),
       onConnected: peer => {
-        this.#meet(peer)
+        this.#addPeer(peer)
         options.onConnected(peer)
       },
     })
   }
 
   start(): void {
-    this.#relink()
-    this.#timer = every(this.options.clock, HEARTBEAT_EVERY, () => this.#beat())
+    this.#updateLinks()
+    this.#timer = every(this.options.clock, HEARTBEAT_INTERVAL, () => this.#tick())
   }
 
-  /** Says goodbye: the others need not wait to see that this incarnation has ended. */
+  /** Stops and announces it, so that the other boxes need not wait for a timeout. */
   stop(): void {
     this.halt()
     this.sendToAll({ type: 'goodbye' })
   }
 
-  /** Stops without a word, as a crash would. */
+  /** Stops without announcing it, as in a crash. */
   halt(): void {
     this.#timer?.cancel()
   }
@@ -106,36 +108,37 @@
     return this.#peers
   }
 
+  /** Incarnations that are known to have exited. */
   get gone(): ReadonlySet<VoterId> {
     return this.#gone
   }
 
-  /** Names of the machines that the platform lists as entry boxes. */
+  /** Sets the names of the boxes that the platform lists. */
   setListed(names: ReadonlySet<string>): void {
     this.#listed = names
   }
 
-  /** Notes where a box may be linked to. */
+  /** Adds the address of a box to link to. */
   addAddress(box: string, address: string): void {
     if (box === this.options.self.box) return
-    this.#addresses.set(address, { box, address })
-    this.#relink()
+    this.#peerAddresses.set(address, { box, address })
+    this.#updateLinks()
   }
 
-  /** Peers that were heard lately. */
+  /** Peers with a recent heartbeat. */
   livePeers(): PeerView[] {
     const now = this.options.clock.now()
-    return [...this.#peers.values()].filter(peer => now - peer.heardAt <= UNLISTED_AFTER)
+    return [...this.#peers.values()].filter(peer => now - peer.lastSeenAt <= LIVE_TIMEOUT)
   }
 
-  /** Whether this box reads the store for its data centre. */
+  /** Whether this box polls the store on behalf of its data centre. */
   isPoller(): boolean {
     const { self } = this.options
     const boxes = [self, ...this.livePeers().map(peer => peer.identity)]
     return relaysOf(boxes, self.dataCentre).some(box => box.box === self.box)
   }
 
-  /** Boxes that callers may be sent to. */
+  /** This box and its live peers, as listed to callers. */
   directory(ownLoad: number): DirectoryEntry[] {
     const { self } = this.options
     const own = { identity: self, state: this.#state, load: ownLoad }
@@ -156,42 +159,44 @@
     for (const peer of this.#peers.keys()) this.send(peer, message)
   }
 
-  #hear(from: PeerIdentity, message: PeerMessage): void {
-    const voter = this.#meet(from)
+  #receive(from: PeerIdentity, message: PeerMessage): void {
+    const voter = this.#addPeer(from)
     if (!voter) return
-    if (message.type === 'heartbeat') this.#hearHeartbeat(voter, message)
-    else if (message.type === 'goodbye') this.#noteGone(voter)
+    if (message.type === 'heartbeat') this.#receiveHeartbeat(voter, message)
+    else if (message.type === 'goodbye') this.#markGone(voter)
     else this.options.onMessage(from, message)
   }
 
-  #hearHeartbeat(voter: VoterId, heartbeat: Heartbeat): void {
+  #receiveHeartbeat(voter: VoterId, heartbeat: Heartbeat): void {
     const peer = this.#peers.get(voter)
     if (!peer || heartbeat.sequence <= peer.lastSequence) return
     peer.lastSequence = heartbeat.sequence
-    peer.heardAt = this.options.clock.now()
+    peer.lastSeenAt = this.options.clock.now()
     peer.isSilent = false
     peer.state = heartbeat.state
     peer.load = heartbeat.load
-    for (const gone of heartbeat.gone) this.#noteGone(gone)
-    // What the peer says was true after it heard the echoed heartbeat, so it is dated from when that was sent.
-    const askedAt = this.#sentAt.get(heartbeat.echo)
+    for (const gone of heartbeat.gone) this.#markGone(gone)
+    // The peer wrote this after it received the echoed heartbeat, so it is no older than that one.
+    const askedAt = this.#heartbeatSentAt.get(heartbeat.echo)
     this.options.onHeartbeat(voter, heartbeat, askedAt ?? -Infinity)
   }
 
-  /** Undefined for an incarnation that is known to have ended. */
-  #meet(identity: PeerIdentity): VoterId | undefined {
+  /**
+   * Registers a peer if it is new. Undefined for an incarnation that has exited and for this box.
+   */
+  #addPeer(identity: PeerIdentity): VoterId | undefined {
     const voter = voterOf(identity)
     if (this.#gone.has(voter) || identity.box === this.options.self.box) return undefined
     if (this.#peers.has(voter)) return voter
     for (const [other, view] of this.#peers) {
-      // Two processes cannot hold one address: the earlier incarnation has ended.
-      if (view.identity.peerAddress === identity.peerAddress) this.#noteGone(other)
+      // Two processes cannot share an address, so the earlier incarnation has exited.
+      if (view.identity.peerAddress === identity.peerAddress) this.#markGone(other)
     }
     this.#peers.set(voter, {
       identity,
       state: 'starting',
       load: 0,
-      heardAt: this.options.clock.now(),
+      lastSeenAt: this.options.clock.now(),
       lastSequence: 0,
       isSilent: false,
     })
@@ -199,11 +204,11 @@
     return voter
   }
 
-  #noteGone(voter: VoterId): void {
+  #markGone(voter: VoterId): void {
     if (this.#gone.has(voter) || voter === this.#selfVoter) return
     this.#gone.add(voter)
     this.#peers.delete(voter)
-    this.options.log.info({ voter }, 'a box has ended')
+    this.options.log.info({ voter }, 'peer box has exited')
     this.options.onGone(voter)
   }
 
@@ -211,17 +216,17 @@
     return voterOf(this.options.self)
   }
 
-  #beat(): void {
-    this.#watchSilence()
-    this.#relink()
+  #tick(): void {
+    this.#checkTimeouts()
+    this.#updateLinks()
     this.#sendHeartbeats()
   }
 
   #sendHeartbeats(): void {
     const now = this.options.clock.now()
     this.#sequence++
-    this.#sentAt.set(this.#sequence, now)
-    this.#sentAt.delete(this.#sequence - 100)
+    this.#heartbeatSentAt.set(this.#sequence, now)
+    this.#heartbeatSentAt.delete(this.#sequence - 100)
     for (const [voter, peer] of this.#peers) {
       this.send(voter, {
         type: 'heartbeat',
@@ -234,22 +239,22 @@
     }
   }
 
-  #watchSilence(): void {
+  #checkTimeouts(): void {
     const now = this.options.clock.now()
     for (const [voter, peer] of this.#peers) {
-      const silence = now - peer.heardAt
+      const silence = now - peer.lastSeenAt
       const isUnlisted = this.#listed !== undefined && !this.#listed.has(peer.identity.box)
-      if (silence > GONE_AFTER && isUnlisted) this.#noteGone(voter)
-      else if (silence > SILENT_AFTER && !peer.isSilent) {
+      if (silence > GONE_TIMEOUT && isUnlisted) this.#markGone(voter)
+      else if (silence > SILENCE_TIMEOUT && !peer.isSilent) {
         peer.isSilent = true
         this.options.onSilent(voter)
       }
-      if (silence > FORGET_AFTER) this.#peers.delete(voter)
+      if (silence > FORGET_TIMEOUT) this.#peers.delete(voter)
     }
   }
 
-  /** Each box is linked to each; docs/CAPACITY.md says up to how many. */
-  #relink(): void {
-    this.options.transport.link([...this.#addresses.values()])
+  /** Links to every known address; the boxes form a full mesh. */
+  #updateLinks(): void {
+    this.options.transport.link([...this.#peerAddresses.values()])
   }
 }
--- a/packages/box/src/tasks/placementTask.ts
+++ b/packages/box/src/tasks/placementTask.ts
@@ -32,34 +32,36 @@
   log: Log
   upstreams: UpstreamTask
   rights(): Rights
-  /** Whether the box's copy of the table is known to be in force. */
+  /** Whether this box's replica of the table is confirmed to be current. */
   mayAct(): boolean
   organisations: readonly string[]
 }
 
 export const PLACEMENT_LEASE_KEY = 'lease/placement'
 export const PLACEMENT_KEY = 'placement/state'
-const STEP_EVERY: Milliseconds = 1_000
-/** An engine that is emptied counts as empty when boxes have had time to hear of it. */
-const EMPTY_AFTER: Milliseconds = 3_000
+const STEP_INTERVAL: Milliseconds = 1_000
+/** Time for all boxes to receive that an engine is emptied; it does not count as idle before. */
+const EMPTYING_PROPAGATION_DURATION: Milliseconds = 3_000
 
-/** What outlives the holder of the lease. An operator may pause it. */
+/** Placement state in the store, which the next lease holder continues from. */
 export interface PlacementState {
-  /** Fence of the last write. */
+  /** Fencing token of the last write. */
   fence: number
+  /** Engines that are drained so that another version can be loaded. */
   emptying: string[]
+  /** Set by an operator. */
   paused: boolean
 }
 
-const NO_STATE: PlacementState = { fence: 0, emptying: [], paused: false }
+const INITIAL_STATE: PlacementState = { fence: 0, emptying: [], paused: false }
 
-/** Orders engines to load what the table asks for. One box does so at a time, under a lease. */
+/** Orders engines to load the versions that the table demands. Only the holder of a lease acts. */
 export class PlacementTask {
   readonly #lease: LeaseState
   readonly #leaseTask: Task<LeaseMessage>
-  readonly #heardEmptying = new Map<VoterId, readonly string[]>()
-  readonly #emptySince = new Map<string, Milliseconds>()
-  #state = NO_STATE
+  readonly #emptyingByPeer = new Map<VoterId, readonly string[]>()
+  readonly #emptyingSince = new Map<string, Milliseconds>()
+  #state = INITIAL_STATE
   #timers: { cancel(): void }[] = []
 
   constructor(private readonly options: PlacementTaskOptions) {
@@ -79,8 +81,8 @@
     if (!this.options.enabled) return
     const { clock } = this.options
     this.#timers = [
-      every(clock, STEP_EVERY, () => this.#leaseTask.post({ type: 'tick' })),
-      every(clock, STEP_EVERY, () => this.#step()),
+      every(clock, STEP_INTERVAL, () => this.#leaseTask.post({ type: 'tick' })),
+      every(clock, STEP_INTERVAL, () => this.#step()),
     ]
   }
 
@@ -88,7 +90,7 @@
     this.#timers.forEach(timer => timer.cancel())
   }
 
-  /** Engines that this box wants emptied, while it holds the lease. */
+  /** Engines to drain; none unless this box holds the lease. */
   get emptying(): readonly string[] {
     return this.isHolder ? this.#state.emptying : []
   }
@@ -101,14 +103,14 @@
     return this.#state.paused
   }
 
-  /** Hears which engines the holder of the lease wants emptied. */
+  /** Receives the engines that a peer, as lease holder, drains. */
   hear(from: VoterId, emptying: readonly string[]): void {
-    if (emptying.length > 0) this.#heardEmptying.set(from, emptying)
-    else this.#heardEmptying.delete(from)
+    if (emptying.length > 0) this.#emptyingByPeer.set(from, emptying)
+    else this.#emptyingByPeer.delete(from)
     this.#applyEmptying()
   }
 
-  /** An operator pauses placement, or lets it go on. False when the store did not take it. */
+  /** Pauses or resumes placement for an operator. False if the store did not accept the write. */
   async setPaused(paused: boolean): Promise<boolean> {
     const read = await this.#readState()
     if (!read) return false
@@ -121,40 +123,47 @@
     return outcome === 'committed'
   }
 
-  /** The steps that a plan would take now; for operators. */
+  /** Steps that a plan made now contains; for operators. */
   preview(): PlacementStep[] {
-    return planPlacement(this.#engines(), this.#demands())
+    return planPlacement(this.#placedEngines(), this.#resolveDemands())
   }
 
   async #step(): Promise<void> {
     const fence = heldFence(this.#lease, this.options.clock.now())
     if (fence === undefined || !this.options.mayAct()) return
     const read = await this.#readState()
-    // A later holder has written: this one is to stop, whatever its own clock says.
+    // A higher fence means that another box has taken the lease, whatever this box's clock says.
     if (!read || read.state.fence > fence) return
     this.#state = read.state
     this.#applyEmptying()
     if (read.state.paused) return
-    const steps = planPlacement(this.#engines(), this.#demands(), DEFAULT_PLACEMENT_LIMITS)
+    const steps = planPlacement(
+      this.#placedEngines(),
+      this.#resolveDemands(),
+      DEFAULT_PLACEMENT_LIMITS,
+    )
     const emptying = nextEmptying(read.state.emptying, steps)
     const next: PlacementState = { fence, emptying, paused: false }
     if (steps.length === 0 && read.state.fence === fence) return
-    // Written only if nobody has written since it was read: the next holder's first write ends this one's.
+    // Compare-and-swap: fails once the next lease holder has written.
     if (!(await this.#saveState(next, read.version))) return
     this.#state = next
     this.#applyEmptying()
-    for (const step of steps) if (step.step === 'load') await this.#order(step, fence)
+    for (const step of steps) if (step.step === 'load') await this.#sendLoadOrder(step, fence)
   }
 
-  /** Orders a load, if the lease still holds. Engines that do not check the fence get one order at a time. */
-  async #order(step: Extract<PlacementStep, { step: 'load' }>, fence: number): Promise<void> {
+  /** Sends a load order if the lease is still held under the same fence. */
+  async #sendLoadOrder(
+    step: Extract<PlacementStep, { step: 'load' }>,
+    fence: number,
+  ): Promise<void> {
     const { client, clock, log, upstreams } = this.options
     const view = upstreams.views.get(step.engine)
     if (!view || heldFence(this.#lease, clock.now()) !== fence) return
-    const isChecked = upstreams.facts.get(step.engine)?.checksFence ?? false
-    // Unloading is what a late order could do harm with; it goes only to engines that refuse late orders, or
-    // to one that has been empty for longer than any order can be on its way.
-    if (step.unload && !isChecked && !this.#isLongEmpty(step.engine)) return
+    const checksFence = upstreams.facts.get(step.engine)?.checksFence ?? false
+    // A delayed unload order can remove a version that is in use again. It is only sent to engines
+    // that check the fence, or that have been emptied for longer than a lease takes to lapse.
+    if (step.unload && !checksFence && !this.#isEmptiedPastLease(step.engine)) return
     const body = JSON.stringify({ fence, load: step.version, unload: step.unload })
     try {
       const answer = await client.send(view.address, {
@@ -166,32 +175,35 @@
       await readText(answer.body)
       log.info(
         { engine: step.engine, version: step.version, fence },
-        'an engine was ordered to load',
+        'sent a load order to an engine',
       )
     } catch {
-      log.warn({ engine: step.engine }, 'an order did not reach its engine; it will be made again')
+      log.warn(
+        { engine: step.engine },
+        'could not send a load order to an engine; the next plan retries it',
+      )
     }
   }
 
-  #isLongEmpty(engine: string): boolean {
-    const since = this.#emptySince.get(engine)
+  #isEmptiedPastLease(engine: string): boolean {
+    const since = this.#emptyingSince.get(engine)
     return since !== undefined && this.options.clock.now() - since > this.#lease.limits.lapseAfter
   }
 
-  #engines(): PlacedEngine[] {
+  #placedEngines(): PlacedEngine[] {
     const now = this.options.clock.now()
     return [...this.options.upstreams.views.values()]
       .filter(view => view.kind === 'engine' && view.state !== 'gone')
-      .map(view => this.#placed(view, now))
+      .map(view => this.#placedEngine(view, now))
   }
 
-  #placed(view: UpstreamView, now: Milliseconds): PlacedEngine {
+  #placedEngine(view: UpstreamView, now: Milliseconds): PlacedEngine {
     const facts = this.options.upstreams.facts.get(view.id)
     const emptying = this.#state.emptying.includes(view.id)
-    const since = this.#emptySince.get(view.id) ?? now
-    // Right after the word has gone out, boxes that have not heard it may still send.
-    const unheard = emptying && now - since < EMPTY_AFTER ? 1 : 0
-    const inFlight = view.report.running + view.report.waiting + view.inFlight + unheard
+    const since = this.#emptyingSince.get(view.id) ?? now
+    // Boxes that have not received the change yet may still send requests.
+    const unpropagated = emptying && now - since < EMPTYING_PROPAGATION_DURATION ? 1 : 0
+    const inFlight = view.report.running + view.report.waiting + view.inFlight + unpropagated
     return {
       id: view.id,
       serves: [...view.serves],
@@ -203,7 +215,7 @@
     }
   }
 
-  #demands() {
+  #resolveDemands() {
     const rights = this.options.rights()
     const engines = new Map<string, number>()
     for (const view of this.options.upstreams.views.values()) {
@@ -214,13 +226,13 @@
   }
 
   #applyEmptying(): void {
-    const wanted = new Set([...this.emptying, ...[...this.#heardEmptying.values()].flat()])
+    const wanted = new Set([...this.emptying, ...[...this.#emptyingByPeer.values()].flat()])
     const now = this.options.clock.now()
     for (const engine of wanted) {
-      if (!this.#emptySince.has(engine)) this.#emptySince.set(engine, now)
+      if (!this.#emptyingSince.has(engine)) this.#emptyingSince.set(engine, now)
     }
-    for (const engine of this.#emptySince.keys()) {
-      if (!wanted.has(engine)) this.#emptySince.delete(engine)
+    for (const engine of this.#emptyingSince.keys()) {
+      if (!wanted.has(engine)) this.#emptyingSince.delete(engine)
     }
     this.options.upstreams.setEmptying(wanted)
   }
@@ -230,7 +242,7 @@
     if (answer.outcome !== 'read') return undefined
     const row = answer.rows[0]
     return {
-      state: row ? (JSON.parse(row.value) as PlacementState) : NO_STATE,
+      state: row ? (JSON.parse(row.value) as PlacementState) : INITIAL_STATE,
       version: row?.version ?? 0,
     }
   }
--- a/packages/box/src/tasks/proposalWriter.ts
+++ b/packages/box/src/tasks/proposalWriter.ts
@@ -16,18 +16,18 @@
 } from '@yewkeel/decisions'
 import { byKey, outcomeOfRow, parseRow } from './tableRows.js'
 
-/** Tries of a change that others go before, and of reading after a lost answer. */
-const RESOLVE_TRIES = 20
-const RESOLVE_PAUSE: Milliseconds = 250
+/** Applies to writes that conflict with other changes, and to resolving an unknown outcome. */
+const MAX_ATTEMPTS = 20
+const RESOLVE_RETRY_DELAY: Milliseconds = 250
 
-/** Writes proposals to the store once a majority has heard of them. */
+/** Writes proposals to the store. The caller has announced them to a majority before. */
 export class ProposalWriter {
   constructor(
     private readonly table: TableService,
     private readonly clock: Clock,
   ) {}
 
-  /** Writes a proposal, and finds out what became of it when the answer is lost. */
+  /** Writes a proposal; if the outcome of the write is unknown, resolves it with a tombstone. */
   write({ id, content }: Proposal): Promise<ChangeOutcome> {
     return content.kind === 'change'
       ? this.#writeChange(content.change)
@@ -36,7 +36,7 @@
 
   async #writeChange(change: TableChange): Promise<ChangeOutcome> {
     const { table, clock } = this
-    for (let tries = 0; tries < RESOLVE_TRIES; tries++) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const basis = await this.#readBasis(change)
       if (!basis)
         return { outcome: 'refused', message: 'the store does not answer; nothing was written' }
@@ -98,12 +98,12 @@
     return { outcome: 'refused', message: 'the store did not take the set of voters' }
   }
 
-  /** The answer to a write was lost. A tombstone in its place makes sure that it cannot take effect later. */
+  /** Resolves a write with an unknown outcome, retrying while the store is unavailable. */
   async #resolveUnknown(id: string): Promise<ChangeOutcome> {
-    for (let tries = 0; tries < RESOLVE_TRIES; tries++) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const outcome = await this.fence(id)
       if (outcome) return outcome
-      await sleep(this.clock, RESOLVE_PAUSE)
+      await sleep(this.clock, RESOLVE_RETRY_DELAY)
     }
     return {
       outcome: 'pending',
@@ -112,7 +112,10 @@
     }
   }
 
-  /** Reads what became of a proposal, or makes sure that it can never be accepted. Undefined while the store is out. */
+  /**
+   * Writes a tombstone for a proposal, so that a delayed write of it fails, or returns its outcome
+   * if it already has one. Undefined while the store is unavailable.
+   */
   async fence(id: string): Promise<ChangeOutcome | undefined> {
     const key = TABLE_KEYS.changeId(id)
     const written = await this.table.commit({
--- a/packages/box/test/crashSuspects.test.ts
+++ b/packages/box/test/crashSuspects.test.ts
@@ -19,14 +19,14 @@
 
 interface Box {
   suspects: CrashSuspects
-  condemned: string[]
+  quarantined: string[]
 }
 
-/** Boxes that tell each other after a moment. */
+/** Boxes that receive each other's updates after `delay` milliseconds. */
 function createBoxes(clock: ManualClock, count: number, delay = 8): Box[] {
   const boxes: Box[] = []
   for (let at = 0; at < count; at++) {
-    const condemned: string[] = []
+    const quarantined: string[] = []
     const tell = (news: readonly SuspectNews[]) => {
       for (const other of boxes.filter(({ suspects }) => suspects !== boxes[at]!.suspects))
         clock.after(delay, () => void other.suspects.take(structuredClone(news)))
@@ -38,9 +38,9 @@
       note() {},
       tell,
       isMesh: () => true,
-      onCondemned: ({ request }) => void condemned.push(request),
+      onCondemned: ({ request }) => void quarantined.push(request),
     })
-    boxes.push({ suspects, condemned })
+    boxes.push({ suspects, quarantined })
   }
   return boxes
 }
@@ -53,8 +53,8 @@
   hasAnswered = false,
 ) => suspects.noteCrash({ request, upstream, service: 'pool', atSend, route: 'chat', hasAnswered })
 
-describe('what boxes hold against a request', () => {
-  it('counts runs by what was known when they were sent', async () => {
+describe('CrashSuspects', () => {
+  it('counts crashes of copies sent with the same suspicion as one crash', async () => {
     const clock = new ManualClock()
     const [box] = createBoxes(clock, 1)
     crash(box!, 'popular', 'engine-1')
@@ -65,10 +65,10 @@
       await clock.advance(200)
     }
     expect(box!.suspects.find('popular').crashes).to.equal(2)
-    expect(box!.condemned).to.deep.equal([])
+    expect(box!.quarantined).to.deep.equal([])
   })
 
-  it('condemns it at every box after three crashes, one after the other at any of them', async () => {
+  it('quarantines a request at all boxes after three successive crashes', async () => {
     const clock = new ManualClock()
     const boxes = createBoxes(clock, 3)
     for (const [at, box] of boxes.entries()) {
@@ -76,10 +76,10 @@
       await clock.advance(300)
     }
     for (const { suspects } of boxes) expect(suspects.find('killer').isCondemned).to.equal(true)
-    expect(boxes.flatMap(({ condemned }) => condemned)).to.deep.equal(['killer'])
+    expect(boxes.flatMap(({ quarantined }) => quarantined)).to.deep.equal(['killer'])
   })
 
-  it('is cleared everywhere by a whole answer, which an older crash does not take back', async () => {
+  it('clears an answered request at all boxes, also against a crash of an older send', async () => {
     const clock = new ManualClock()
     const boxes = createBoxes(clock, 2)
     crash(boxes[0]!, 'good', 'engine-1')
@@ -92,19 +92,19 @@
     for (const { suspects } of boxes) expect(suspects.find('good').crashes).to.equal(0)
   })
 
-  it('is nothing where it came to an answer a moment ago', async () => {
+  it('does not suspect a recently answered request when all upstreams crash', async () => {
     const clock = new ManualClock()
     const [box] = createBoxes(clock, 1)
-    // All engines end one after the other, before any of its next runs can come to an answer.
+    // All engines crash in turn, before the request can be answered again.
     for (const engine of [1, 2, 3, 4]) {
       crash(box!, 'popular', `engine-${engine}`, undefined, true)
       await clock.advance(200)
     }
     expect(box!.suspects.find('popular').crashes).to.equal(0)
-    expect(box!.condemned).to.deep.equal([])
+    expect(box!.quarantined).to.deep.equal([])
   })
 
-  it('is run by one box at a time, also where two begin at the same moment', async () => {
+  it('gives one of two concurrent claims the trial, the other waits for its timeout', async () => {
     const clock = new ManualClock()
     const boxes = createBoxes(clock, 2)
     crash(boxes[0]!, 'suspect', 'engine-1')
@@ -117,12 +117,12 @@
       })
     await clock.advance(500)
     expect(turns).to.deep.equal(['0 trial'])
-    // The run outlasts its trial, so that nobody waits for its end.
+    // The request runs longer than the trial's timeout.
     await clock.advance(1_000)
     expect(turns).to.deep.equal(['0 trial', '1 free'])
   })
 
-  it('excuses crashes of many upstreams at once, twice', async () => {
+  it('excuses at most two crashes that coincide with many others', async () => {
     const clock = new ManualClock()
     const [box] = createBoxes(clock, 1)
     crash(box!, 'suspect', 'engine-0')
@@ -136,10 +136,10 @@
       excused.push(box!.suspects.find('suspect').excused)
     }
     expect(excused).to.deep.equal([1, 2, 2, 2])
-    expect(box!.condemned).to.deep.equal(['suspect'])
+    expect(box!.quarantined).to.deep.equal(['suspect'])
   })
 
-  it('is bounded, and the condemned are forgotten last', () => {
+  it('keeps a bounded number of suspects and evicts quarantined ones last', () => {
     const clock = new ManualClock()
     const [box] = createBoxes(clock, 1)
     box!.suspects.takeCondemned([{ request: 'killer', crashes: 3, route: 'chat', upstreams: [] }])
@@ -150,7 +150,7 @@
     expect(box!.suspects.find(`request ${3 * MOST_SUSPECTS - 1}`).crashes).to.equal(1)
   })
 
-  it('lapses, also while the machine is suspended', () => {
+  it('expires suspects and quarantined requests, also while the machine is suspended', () => {
     const clock = new ManualClock()
     const [box] = createBoxes(clock, 1)
     box!.suspects.takeCondemned([{ request: 'killer', crashes: 3, route: 'chat', upstreams: [] }])
@@ -164,7 +164,7 @@
     expect(box!.suspects.isEmpty).to.equal(true)
   })
 
-  it('is the same at all boxes, whatever they hear first', () => {
+  it('merges suspicions to the same result in any order', () => {
     const step = fc.oneof(
       fc.record({ type: fc.constant('crash' as const), from: fc.nat(7), isExcused: fc.boolean() }),
       fc.record({
@@ -196,10 +196,10 @@
   })
 })
 
-describe('answers of a moment ago', () => {
+describe('RecentAnswers', () => {
   const content = (body: string, name = 'chat') => ({ name, body: Buffer.from(body) })
 
-  it('are known by caller, path and the whole body, for 30 s', () => {
+  it('matches a request by caller, path and the whole body for 30 s', () => {
     const clock = new ManualClock()
     const answers = new RecentAnswers(clock)
     answers.note(content('when is high water?'))
@@ -210,7 +210,7 @@
     expect(answers.has(content('when is high water?'))).to.equal(false)
   })
 
-  it('are bounded in number and bytes', () => {
+  it('keeps a bounded number of answers and of bytes', () => {
     const answers = new RecentAnswers(new ManualClock())
     for (let at = 0; at < 1_001; at++) answers.note(content('short', `request ${at}`))
     expect(answers.has(content('short', 'request 0'))).to.equal(false)
