--- a/packages/box/src/tasks/placementTask.ts
+++ b/packages/box/src/tasks/placementTask.ts
@@ -40,7 +40,7 @@
 export const PLACEMENT_LEASE_KEY = 'lease/placement'
 export const PLACEMENT_KEY = 'placement/state'
 const STEP_INTERVAL: Milliseconds = 1_000
-/** Time for all boxes to receive that an engine is emptied; it does not count as idle before. */
+/** An emptied engine counts as busy for this long, until all boxes have received the change. */
 const EMPTYING_PROPAGATION_DURATION: Milliseconds = 3_000
 
 /** Placement state in the store, which the next lease holder continues from. */
