--- a/packages/box/src/types/context.ts
+++ b/packages/box/src/types/context.ts
@@ -30,7 +30,7 @@
 } from './ports.js'
 import type { Settings } from './settings.js'
 
-/** What a box's requests are handled with. */
+/** Services shared by all request handlers of a box. */
 export interface BoxServices {
   settings: Settings
   clock: Clock
@@ -51,37 +51,39 @@
   quality: QualityTask
   streams: StreamFinder
   retries: RetryBudget
-  /** What is known of requests under which upstreams ended. */
+  /** Requests suspected of crashing upstreams. */
   suspects: CrashSuspects
   strategy: UpstreamStrategyName
-  /** Share of the bound on open requests in use. */
+  /** Open requests as a fraction of `settings.limits.openRequests`. */
   load(): number
+  /** False once the box drains. */
   takesNewRequests(): boolean
 }
 
-/** One request of a caller on its way through the filters. */
+/** State of one caller request while it passes through the filters and is dispatched. */
 export interface RequestContext {
   services: BoxServices
   request: CallerRequest
   responder: Responder
   id: string
-  /** Names the bill: the same for all attempts of a caller that sends an idempotency key. */
+  /** Key of the bill: the same for all retries of a caller that sends an idempotency key. */
   billId: string
   receivedAt: Milliseconds
-  /** Some try at an upstream may have run, so no later refusal can say that the request did not. */
+  /** An attempt may have run upstream: no later refusal may claim the opposite. */
   mayHaveRun: boolean
   span: Span
-  /** Set by the filters that find them out. */
+  /** Set by the authentication and limit filters, as are `limit` and `rights`. */
   organisation: string
   limit: LimitRow
-  /** Tables that the request must satisfy. */
+  /** Resolved tables, all of which must allow the request. */
   rights: readonly Rights[]
 }
 
-/** What dispatching needs to know of a request beside its context. */
+/** How to dispatch a request to an upstream. */
 export interface SendPlan {
-  /** `model@version` or the name of a service. */
+  /** `model@version` or a service name. */
   served: string
   admission: AdmissionRequest
+  /** Whether an attempt that may have run may be retried: false for non-idempotent calls. */
   mayRepeat: boolean
 }
--- a/packages/box/src/types/peerMessage.ts
+++ b/packages/box/src/types/peerMessage.ts
@@ -12,49 +12,60 @@
 
 import type { SuspectNews } from './suspects.js'
 
-/** Who a box is. A restart makes a new incarnation. */
+/** Identity of a running box. Each restart has a new incarnation. */
 export interface PeerIdentity {
   box: string
   incarnation: string
   dataCentre: string
-  /** Where callers connect. */
+  /** Address for callers. */
   entryAddress: string
-  /** Where boxes connect. */
+  /** Address for other boxes. */
   peerAddress: string
 }
 
+/** `leaving`: the box drains. */
 export type BoxState = 'starting' | 'serving' | 'leaving'
 
-/** What a box tells each linked box several times a second. */
+/** Sent to each connected box several times a second. */
 export interface Heartbeat {
   type: 'heartbeat'
   sequence: number
-  /** Sequence of the receiver's last heartbeat heard here; 0 for none. */
+  /** Sequence of the last heartbeat received from the receiver; 0 for none. */
   echo: number
   state: BoxState
+  /** Revision of the sender's table replica. */
   revision: number
-  /** Age of the evidence that `revision` is the store's newest. */
+  /** Time since `revision` was last confirmed as the store's newest. */
   confirmedAge?: Milliseconds
+  /** The sender gets no replies from the store. */
   storeOut: boolean
+  /** Proposals without a known outcome. */
   open: Proposal[]
-  /** Epoch of the voter set that the sender knows; 0 for none. */
+  /** Epoch of the sender's voter set; 0 for none. */
   votersEpoch: number
-  /** The set itself, for a receiver that knows another. */
+  /** The voter set, when the receiver has another epoch. */
   voters?: VoterSet
-  /** Share of the box's open-request bound in use. */
+  /** Open requests as a fraction of the box's limit. */
   load: number
-  /** Requests under way by upstream. */
+  /** Requests in flight by upstream. */
   inFlight: [upstream: string, count: number][]
-  /** Requests a second by organisation. */
+  /** Request rate by organisation. */
   demand: [organisation: string, requestsPerSecond: number][]
+  /** Counts of answers and ratings by model version. */
   evidence: EvidenceCounter[]
+  /** Versions whose exposure was halted, and halts that were lifted. */
   halts: Halt[]
-  /** Incarnations known not to run any more. */
+  /** Incarnations known to have stopped. */
   gone: VoterId[]
-  /** Engines that are emptied for a change of version. */
+  /** Engines that drain for a change of version. */
   emptying: string[]
 }
 
+/**
+ * Messages between boxes. `hold` replicates bills to a witness, `held` acknowledges them, `release`
+ * deletes them. `stream-question` looks for the bill of a running request, which `stream-answer`
+ * carries.
+ */
 export type PeerMessage =
   | Heartbeat
   | { type: 'announcement'; proposal: Proposal }
@@ -70,7 +81,7 @@
   | { type: 'suspects'; entries: SuspectNews[] }
   | { type: 'goodbye' }
 
-/** The voter that a box's present run is. */
+/** Voter id of this incarnation of a box. */
 export function voterOf({ box, incarnation }: PeerIdentity): VoterId {
   return formatVoter(box, incarnation)
 }
--- a/packages/box/src/types/ports.ts
+++ b/packages/box/src/types/ports.ts
@@ -1,15 +1,15 @@
 import type { Milliseconds, TableService } from '@yewkeel/decisions'
 import type { PeerMessage, PeerIdentity } from './peerMessage.js'
 
-/** Where a request may still be. `no`: not a byte of it left for the upstream. */
+/** Whether a failed request may have reached the upstream. `no`: no byte of it was sent. */
 export type Sent = 'no' | 'maybe'
 
-/** A request to an upstream failed before its answer began. */
+/** A request to an upstream failed before the response headers arrived. */
 export class UpstreamFailure extends Error {
   constructor(
     readonly sent: Sent,
     message: string,
-    /** The answer did not begin in the time that was given. */
+    /** The response did not start within `SendLimits.answerWithin`. */
     readonly late = false,
   ) {
     super(message)
@@ -28,48 +28,52 @@
   headers: Record<string, string>
   body: AsyncIterable<Uint8Array>
   /**
-   * Reads the body piece by piece without a promise for each, where the client can. Reading waits while `take`
-   * gives a promise, and ends early when it gives `stop`. Rejects when the body breaks.
+   * Reads the body by callback, without a promise per chunk; absent when the client doesn't support
+   * it. Waits for a promise that `take` returns, and stops early when it returns `stop`. Rejects
+   * when the body is cut off.
    */
   pump?(take: (chunk: Uint8Array) => TakeOutcome): Promise<void>
 }
 
-/** Go on, go on when the promise resolves, or read no more. */
+/** Continue, continue once the promise resolves, or stop reading. */
 export type TakeOutcome = void | Promise<unknown> | 'stop'
 
 export interface SendLimits {
-  /** Aborted when the answer is no longer wanted. */
+  /** Cancels the request. */
   signal?: AbortSignal
-  /** How long the answer may take to begin. */
+  /** Time allowed until the response starts. */
   answerWithin?: Milliseconds
 }
 
-/** Speaks to engines and plain services. `send` rejects with `UpstreamFailure` only; it never sends twice. */
+/** Client of engines and services. `send` rejects only with `UpstreamFailure`, never retries. */
 export interface UpstreamClient {
   send(address: string, request: UpstreamRequest, limits?: SendLimits): Promise<UpstreamAnswer>
 }
 
-/** A machine as the platform's list shows it. */
+/** An entry of the platform's list of machines. */
 export interface ListedMachine {
   name: string
   role: 'entry' | 'engine' | 'service'
   address: string
   dataCentre: string
   state: 'live' | 'leaving'
+  /** Requests that it runs at once. */
   slots?: number
+  /** Whether it checks fencing tokens. */
   checksFence?: boolean
 }
 
+/** A caller's rating of an answer. */
 export interface Rating {
   requestId: string
   good: boolean
 }
 
-/** Clients of the platform. Reads that fail give undefined. */
+/** Clients of the platform's services. Failed reads return undefined. */
 export interface Platform {
   table: TableService
   listMachines(): Promise<readonly ListedMachine[] | undefined>
-  /** Ratings after a cursor, of requests that this router served. */
+  /** Ratings after a cursor, of requests served by `router`, the id prefix of a box incarnation. */
   readRatings(
     cursor: number,
     router: string,
@@ -84,39 +88,39 @@
 
 export interface PeerListener<Message = PeerMessage> {
   onMessage(from: PeerIdentity, message: Message): void
-  /** A link to the peer is new; what was sent before may be lost. */
+  /** A new connection is open; messages sent over an earlier one may be lost. */
   onConnected(peer: PeerIdentity): void
 }
 
-/** Links to other boxes. What is sent arrives in order or the link breaks. */
+/** Connections to other boxes. Messages arrive in order, or the connection closes. */
 export interface PeerTransport<Message = PeerMessage> {
   listen(listener: PeerListener<Message>): void
-  /** Keeps links to these and no others. */
+  /** Connects to these peers and disconnects from all others. */
   link(peers: readonly PeerAddress[]): void
-  /** False when there is no link to the peer. */
+  /** False when the peer is not connected. */
   send(to: string, message: Message): boolean
   close(): Promise<void>
 }
 
-/** A request of a caller, however it came. */
+/** A caller's request, independent of the transport. */
 export interface CallerRequest {
   method: string
   path: string
   headers: Record<string, string | undefined>
   body: string
-  /** Aborted when the caller hangs up. */
+  /** Aborted when the caller disconnects. */
   signal: AbortSignal
 }
 
-/** Where the answer to a caller goes. */
+/** Writes the response to a caller. */
 export interface Responder {
   start(status: number, headers: Record<string, string>): void
-  /** Resolves when the caller can take more. */
+  /** The promise resolves when the write buffer has drained (back-pressure). */
   write(chunk: Uint8Array | string): Promise<void> | void
   end(chunk?: Uint8Array | string): void
 }
 
-/** Structured logs. Keys and prompts are never logged. */
+/** Structured log. Never pass keys or prompts. */
 export interface Log {
   info(fields: object, message: string): void
   warn(fields: object, message: string): void
@@ -129,7 +133,7 @@
   timing(name: string, value: Milliseconds, tags?: Record<string, string>): void
 }
 
-/** One hop of a request. */
+/** A tracing span. */
 export interface Span {
   /** W3C `traceparent` of this span, for the next hop. */
   readonly traceparent: string | undefined
@@ -138,7 +142,7 @@
 }
 
 export interface Tracer {
-  /** `parent`: a span of this box, or a `traceparent` header that came from outside. */
+  /** `parent`: a span of this box, or a received `traceparent` header. */
   start(name: string, parent?: Span | string): Span
 }
 
--- a/packages/box/src/types/settings.ts
+++ b/packages/box/src/types/settings.ts
@@ -4,13 +4,16 @@
   .string()
   .regex(
     /^[\d.]+:\d+$|^\[[\da-f:]+\]:\d+$/i,
-    'write an IP number and a port, for example 10.0.0.4:8080',
+    'expected an IP address and a port, for example 10.0.0.4:8080',
   )
 const milliseconds = z.number().int().positive()
 const hash = z
   .string()
-  .regex(/^[\da-f]{64}$/, 'write the SHA-256 of the key in hex; `yewkeelctl hash-key` prints it')
-const keyName = z
+  .regex(
+    /^[\da-f]{64}$/,
+    'expected the SHA-256 of the key in hex, as `yewkeelctl hash-key` prints it',
+  )
+const identifier = z
   .string()
   .regex(/^[\w.-]+$/)
   .max(64)
@@ -21,10 +24,10 @@
   authority: z.string().describe('file of the authority that the other side is checked by, PEM'),
 })
 
-/** The settings of one box. Each field says what it is for; the reference is printed from here. */
+/** Settings of one box. The settings reference is printed from these descriptions. */
 export const settingsSchema = z.strictObject({
-  box: keyName.describe('name of this box, unique among the boxes'),
-  dataCentre: keyName.describe('data centre in which this box stands'),
+  box: identifier.describe('name of this box, unique among the boxes'),
+  dataCentre: identifier.describe('data centre in which this box stands'),
   entry: z.strictObject({
     listen: address.describe('address that callers connect to'),
     announce: address.optional().describe('address told to callers, if it differs from listen'),
@@ -48,10 +51,10 @@
   upstreams: z
     .array(
       z.strictObject({
-        name: keyName,
+        name: identifier,
         kind: z.enum(['engine', 'service']),
         address,
-        dataCentre: keyName,
+        dataCentre: identifier,
         slots: z.number().int().positive().default(8),
         checksFence: z.boolean().default(false),
       }),
@@ -59,15 +62,15 @@
     .default([])
     .describe("upstreams that the platform's list does not show"),
   organisations: z
-    .array(z.strictObject({ name: keyName, keys: z.array(hash).min(1) }))
+    .array(z.strictObject({ name: identifier, keys: z.array(hash).min(1) }))
     .default([])
     .describe('callers: organisations and the hashes of their keys; several keys allow rotation'),
   operatorKeys: z
-    .array(z.strictObject({ name: keyName, key: hash }))
+    .array(z.strictObject({ name: identifier, key: hash }))
     .default([])
     .describe('operators and the hashes of their keys'),
   sessionKeys: z
-    .array(z.strictObject({ id: keyName, secret: z.string().min(16) }))
+    .array(z.strictObject({ id: identifier, secret: z.string().min(16) }))
     .min(1)
     .describe('keys that sign session tokens; the first signs, all verify'),
   limits: z
--- a/packages/box/src/types/suspects.ts
+++ b/packages/box/src/types/suspects.ts
@@ -1,31 +1,36 @@
 import type { Suspicion } from '@yewkeel/decisions'
 
-/** A suspect is run by one box at a time; the others wait for what comes of it. */
+/**
+ * State of a trial as another box reports it. One box at a time runs a suspect request; the others
+ * wait for the outcome.
+ */
 export interface ToldTrial {
-  /** The run of a box, and which of its trials it is: what is told late of an earlier one is no news. */
+  /** Box incarnation that runs the trial. */
   holder: string
+  /** Sequence number among the holder's trials; reports with a lower number are stale. */
   number: number
   state: 'claimed' | 'over' | 'sent'
-  /** The run of an upstream that it was sent to. */
+  /** Upstream process that it was sent to. */
   upstream?: string
 }
 
-/** What boxes tell each other of a request that was at an upstream when its process ended. */
+/** Update between boxes about a request that was in flight when an upstream process crashed. */
 export interface SuspectNews extends Suspicion {
-  /** The request's digest. */
+  /** Digest of the request. */
   request: string
   trial?: ToldTrial
-  /** The run of an upstream that has just ended under it. */
+  /** Upstream process that has just crashed with the request in flight. */
   crashed?: { upstream: string; service: string; wasSuspect: boolean }
 }
 
-/** A condemned request as it lies in the store. */
+/** A quarantined request, as stored. */
 export interface CondemnedEntry {
   request: string
   crashes: number
-  /** Who sent it and where to, for operators. */
+  /** Sender, for operators. */
   organisation?: string
+  /** Where it was sent to, for operators. */
   route: string
-  /** Runs of upstreams that ended under it, as far as the box that condemned it knows. */
+  /** Upstream processes that crashed with it in flight, as known to the box that quarantined it. */
   upstreams: string[]
 }
