--- a/packages/box/src/createBox.ts
+++ b/packages/box/src/createBox.ts
@@ -44,7 +44,7 @@
 } from './types/ports.js'
 import type { Settings } from './types/settings.js'
 
-/** Everything that a box takes from outside. */
+/** External dependencies of a box. */
 export interface BoxOptions {
   settings: Settings
   identity: PeerIdentity
@@ -58,33 +58,35 @@
   tracer: Tracer
 }
 
-/** A box: it answers callers, and agrees with the other boxes through the store and their links. */
+/**
+ * A box answers callers and coordinates with other boxes through the store and direct connections.
+ */
 export interface Box {
   readonly identity: PeerIdentity
   readonly services: BoxServices
   readonly placement: PlacementTask
-  /** Starts the tasks. Resolves when the upstreams have been asked once. */
+  /** Starts the tasks. Resolves after the first poll of the upstreams. */
   start(): Promise<void>
   /** Answers a request of a caller. */
   handle(request: CallerRequest, responder: Responder): Promise<void>
-  /** A planned stop. Resolves when nothing is in flight and every bill is in the store. */
+  /** Drains the box. Resolves when no request is in flight and every bill is stored. */
   stop(): Promise<void>
-  /** Stops all tasks at once, as a crash would. */
+  /** Stops all tasks at once without draining, to simulate a crash. */
   kill(): void
 }
 
-const DRAIN_EVERY: Milliseconds = 100
+const DRAIN_CHECK_INTERVAL: Milliseconds = 100
 
-/** Builds a box on what it is given. Nothing runs before `start`. */
+/** Creates a box. Nothing runs before `start`. */
 export function createBox(options: BoxOptions): Box {
   const { settings, identity, clock, random, platform, client, transport, log, metrics } = options
   const self = voterOf(identity)
   const router = `${identity.box}.${identity.incarnation}.`
   const drain = createDrainState(settings.addressLifetimeMilliseconds)
-  /** Epoch of the voter set that each peer knows. */
-  const votersOfPeers = new Map<VoterId, number>()
+  /** Epoch of each peer's voter set. */
+  const voterEpochByPeer = new Map<VoterId, number>()
   let openRequests = 0
-  let requests = 0
+  let requestCount = 0
 
   const send = (to: VoterId, message: PeerMessage) => void membership.send(to, message)
   const sendToAll = (message: PeerMessage) => membership.sendToAll(message)
@@ -106,7 +108,7 @@
     log,
     metrics,
     send,
-    witnesses: () => liveWitnesses(),
+    witnesses: () => chooseWitnesses(),
     boxCount,
     reconcile: bill =>
       reconcileBill(bill, {
@@ -159,20 +161,20 @@
     log,
     contentFor,
     onHeartbeat,
-    onMessage: (from, message) => hearPeer(voterOf(from), message),
+    onMessage: (from, message) => handlePeerMessage(voterOf(from), message),
     onConnected(peer) {
       const voter = voterOf(peer)
       exposure.resetPeer(voter)
       bills.post({ type: 'peer-connected', peer: voter })
       send(voter, { type: 'suspects', entries: suspects.all() })
     },
-    onSilent: voter => loseBox(voter),
+    onSilent: voter => removePeer(voter),
     onGone(voter) {
-      loseBox(voter)
+      removePeer(voter)
       table.post({ type: 'voter-gone', voter })
     },
   })
-  const streams = new StreamFinder({ clock, findHere: id => bills.find(id), sendToAll })
+  const streams = new StreamFinder({ clock, findLocal: id => bills.find(id), sendToAll })
 
   const suspects = new CrashSuspects({
     holder: self,
@@ -211,10 +213,10 @@
   }
   const handleRequest = createRequestHandler(
     services,
-    () => `${router}${(++requests).toString(36)}`,
+    () => `${router}${(++requestCount).toString(36)}`,
   )
 
-  function liveWitnesses(): VoterId[] {
+  function chooseWitnesses(): VoterId[] {
     const others = membership.livePeers().map(({ identity: peer }) => ({
       voter: voterOf(peer),
       dataCentre: peer.dataCentre,
@@ -233,7 +235,7 @@
       open: [...state.open.values()].map(({ id, content }) => ({ id, content })),
       votersEpoch: state.voters?.epoch ?? 0,
       ...(state.voters &&
-        state.voters.epoch !== votersOfPeers.get(peer) && { voters: state.voters }),
+        state.voters.epoch !== voterEpochByPeer.get(peer) && { voters: state.voters }),
       load: services.load(),
       inFlight: upstreams.ownInFlight(),
       demand: allowances.ownDemand(),
@@ -243,17 +245,21 @@
     }
   }
 
-  function onHeartbeat(from: VoterId, heartbeat: Heartbeat, askedAt: Milliseconds): void {
+  /**
+   * `sentAt`: when this box sent the heartbeat that the peer echoes, or `-Infinity` if unknown. The
+   * content of the peer's heartbeat is no older than that.
+   */
+  function onHeartbeat(from: VoterId, heartbeat: Heartbeat, sentAt: Milliseconds): void {
     const { revision, storeOut, confirmedAge, open, voters } = heartbeat
-    votersOfPeers.set(from, heartbeat.votersEpoch)
+    voterEpochByPeer.set(from, heartbeat.votersEpoch)
     table.post({
       type: 'peer-word',
       from,
       word: {
-        asOf: askedAt,
+        asOf: sentAt,
         revision,
         storeOut,
-        ...(confirmedAge !== undefined && { confirmedAt: askedAt - confirmedAge }),
+        ...(confirmedAge !== undefined && { confirmedAt: sentAt - confirmedAge }),
       },
       open,
       ...(voters && { voters }),
@@ -264,7 +270,9 @@
     placement.hear(from, heartbeat.emptying)
   }
 
-  const hearers: { [Type in PeerMessage['type']]?: (from: VoterId, message: never) => void } = {
+  const messageHandlers: {
+    [Type in PeerMessage['type']]?: (from: VoterId, message: never) => void
+  } = {
     announcement: (from, message: Extract<PeerMessage, { type: 'announcement' }>) =>
       table.post({ ...message, from }),
     'announcement-heard': (by, message: Extract<PeerMessage, { type: 'announcement-heard' }>) =>
@@ -276,7 +284,7 @@
       send(from, { type: 'table-reply', revision: copy.revision, rows, ...(voters && { voters }) })
     },
     'table-reply': (_from, message: Extract<PeerMessage, { type: 'table-reply' }>) =>
-      table.takeTable(message),
+      table.receiveTable(message),
     hold: (owner, message: Extract<PeerMessage, { type: 'hold' }>) =>
       bills.post({ ...message, owner }),
     held(by, message: Extract<PeerMessage, { type: 'held' }>) {
@@ -286,27 +294,28 @@
     release: (owner, message: Extract<PeerMessage, { type: 'release' }>) =>
       bills.post({ ...message, owner }),
     'stream-question'(from, message: Extract<PeerMessage, { type: 'stream-question' }>) {
-      const answer = streams.answer(message.requestId)
-      if (answer) send(from, answer)
+      const reply = streams.answer(message.requestId)
+      if (reply) send(from, reply)
     },
     suspects: (_from, message: Extract<PeerMessage, { type: 'suspects' }>) =>
       void suspects.take(message.entries),
     'stream-answer': (_from, message: Extract<PeerMessage, { type: 'stream-answer' }>) =>
-      streams.hear(message.requestId, message.bill),
+      streams.receiveAnswer(message.requestId, message.bill),
   }
 
-  function hearPeer(from: VoterId, message: PeerMessage): void {
-    hearers[message.type]?.(from, message as never)
+  function handlePeerMessage(from: VoterId, message: PeerMessage): void {
+    messageHandlers[message.type]?.(from, message as never)
   }
 
-  /** A box is gone or silent: its bills are taken over, and it no longer counts. */
-  function loseBox(voter: VoterId): void {
+  /** Takes over the bills of a stopped or silent box, and removes it from load and demand. */
+  function removePeer(voter: VoterId): void {
     upstreams.dropPeer(voter)
     allowances.dropPeer(voter)
     bills.replaceWitness(voter)
-    bills.post({ type: 'owner-gone', owner: voter, witnesses: liveWitnesses() })
+    bills.post({ type: 'owner-gone', owner: voter, witnesses: chooseWitnesses() })
   }
 
+  /** By model: active versions with weight that some organisation may send new work to. */
   function competingVersions(): string[][] {
     const rights = table.rights()[0]!
     const models = new Map<string, Set<string>>()
@@ -339,7 +348,7 @@
       placement.start()
       await upstreams.start()
       membership.setState('serving')
-      log.info({ box: identity.box, incarnation: identity.incarnation }, 'the box serves')
+      log.info({ box: identity.box, incarnation: identity.incarnation }, 'the box is serving')
     },
     async handle(request, responder) {
       openRequests++
@@ -350,16 +359,16 @@
       }
     },
     async stop() {
-      const tell = (message: Parameters<typeof drainTransition>[1]) =>
+      const advance = (message: Parameters<typeof drainTransition>[1]) =>
         drainTransition(drain, message, clock.now())
-      tell({ type: 'stop-asked' })
+      advance({ type: 'stop-asked' })
       membership.setState('leaving')
-      log.info({}, 'the box leaves the list of addresses')
+      log.info({}, 'the box is draining and no longer announces its address')
       while (drain.step !== 'stopped') {
         if (drain.step === 'flushing') await bills.flushAll()
-        tell({ type: 'in-flight', count: openRequests })
-        tell({ type: 'unwritten-bills', count: bills.unwritten })
-        await sleep(clock, DRAIN_EVERY)
+        advance({ type: 'in-flight', count: openRequests })
+        advance({ type: 'unwritten-bills', count: bills.unwritten })
+        await sleep(clock, DRAIN_CHECK_INTERVAL)
       }
       await allowances.giveBack()
       stopTasks()
--- a/packages/box/src/tasks/qualityTask.ts
+++ b/packages/box/src/tasks/qualityTask.ts
@@ -27,71 +27,73 @@
   random: Random
 }
 
-/** Plans are made anew at most this often. */
-const PLAN_FOR: Milliseconds = 1_000
-/** An organisation's price of a bad answer is found anew at most this often. */
-const PRICE_FOR: Milliseconds = 5_000
-const FIRST_PRICE = 2_000
-/** Share of cascade requests that try a stage that the plan would not start with. */
-const EXPLORATION = 0.02
-/** Ratings of a stage from which on it is no longer explored. */
-const EXPLORED_RATINGS = 400
+/** Age from which a cascade plan is recomputed. */
+const PLAN_TTL: Milliseconds = 1_000
+/** Age from which an organisation's price of a bad answer is recomputed. */
+const PRICE_TTL: Milliseconds = 5_000
+const INITIAL_BAD_ANSWER_PRICE = 2_000
+/** Fraction of cascade requests that start at a random stage, to collect ratings of it. */
+const EXPLORATION_FRACTION = 0.02
+/** A stage with this many ratings is no longer explored. */
+const MIN_RATINGS = 400
 /**
- * Share of requests whose answer is judged and goes out whatever its confidence. It costs nothing but that the
- * first token waits, and it alone shows what answers are worth that would else be thrown away.
+ * Fraction of requests whose answer is judged and sent regardless of its confidence. Without it,
+ * ratings would exist only for answers that the plan accepts. It delays the first token until the
+ * answer is complete.
  */
-const JUDGED_FOR_LEARNING = 0.25
-/** Ratings with confidence from which on fewer are judged for learning. */
-const LEARNED_RATINGS = 200
-const JUDGED_AFTERWARDS = 0.02
-/** Weight of the newest request in how often a kind comes. */
-const KIND_STEP = 1 / 2_000
-
-/** What is expected of a stage beside its quality. */
+const INITIAL_CALIBRATION_FRACTION = 0.25
+/** Ratings of judged answers from which `CALIBRATION_FRACTION` applies. */
+const MIN_CALIBRATION_RATINGS = 200
+const CALIBRATION_FRACTION = 0.02
+/** Weight of the newest request in the moving average of a kind's share of requests. */
+const SHARE_SMOOTHING_FACTOR = 1 / 2_000
+
+/** Expected cost and latency of a cascade stage. */
 export interface StageCosts {
   model: string
   cost: number
   wholeAnswerMilliseconds: number
 }
 
-/** A request's way through its cascade. */
+/** Start stage and acceptance rules of one request's cascade. */
 export interface CascadeChoice {
   start: number
-  /** Chance of a good answer that the plan reckons with, also where something else is tried to learn from. */
+  /** Probability of a good answer by the plan, also when the request explores another stage. */
   promised: number
-  /** Whether the stage's answer is judged before it goes out. */
+  /** Whether the stage's answer is judged before it is sent. */
   isJudged(stage: number): boolean
-  /** Whether an answer of this confidence goes out. */
+  /** Whether an answer of this confidence is sent; otherwise the next stage runs. */
   accepts(stage: number, confidence: number): boolean
 }
 
-/** One kind of request of one organisation. */
-interface KnownKind {
+/** Requests of one organisation of the same kind, with the same cascade and the same `mayWait`. */
+interface RequestKind {
   name: string
   mayWait: boolean
+  /** Moving average of its share of the organisation's requests. */
   share: number
-  /** Costs of the stages, smoothed over requests. */
+  /** Moving averages over requests. */
   stages: StageCosts[]
   plan?: CascadePlan
   plannedAt: Milliseconds
 }
 
-interface KnownOrganisation {
-  kinds: Map<string, KnownKind>
+interface OrganisationState {
+  kinds: Map<string, RequestKind>
   price: number
   pricedAt: Milliseconds
 }
 
-/** Learns how good each model is at each kind of request, and plans cascades by it. */
+/** Estimates the answer quality of each model by kind of request, and plans cascades with it. */
 export class QualityTask {
   readonly #estimates: QualityEstimates = new Map()
-  /** One for all organisations: they share the estimates, and so what is wrong with them. */
-  readonly #check: PromiseCheck = createPromiseCheck()
-  readonly #organisations = new Map<string, KnownOrganisation>()
+  /** Corrects the bias of the quality estimates, and like them is shared by all organisations. */
+  readonly #promiseCheck: PromiseCheck = createPromiseCheck()
+  readonly #organisations = new Map<string, OrganisationState>()
 
   constructor(private readonly options: QualityTaskOptions) {}
 
-  /** Chooses where a request starts. `mayWait`: whether its first token may wait for a judged stage. */
+  /** Chooses the start stage. `mayWait`: the first token may wait until an answer is judged. */
   choose(
     limit: LimitRow,
     organisation: string,
@@ -99,13 +101,13 @@
     stages: readonly StageCosts[],
     mayWait: boolean,
   ): CascadeChoice {
-    const known = this.#organisationOf(organisation)
-    const knownKind = noteKind(known, kind, stages, mayWait)
-    this.#refresh(known, knownKind, limit)
-    const plan = knownKind.plan!
+    const state = this.#findOrAddOrganisation(organisation)
+    const requestKind = recordRequest(state, kind, stages, mayWait)
+    this.#refreshPlan(state, requestKind, limit)
+    const plan = requestKind.plan!
     const promised = plan.stages[plan.start]?.expectedQuality ?? 1
     const start = this.#explore(kind, stages) ?? plan.start
-    if (mayWait && this.#learnsConfidence(kind, stages[start]!.model)) {
+    if (mayWait && this.#isCalibrationRequest(kind, stages[start]!.model)) {
       return { start, promised, isJudged: () => true, accepts: () => true }
     }
     return {
@@ -116,6 +118,7 @@
     }
   }
 
+  /** Records an answer and returns its confidence bucket. */
   noteAnswer(kind: string, model: string, confidence: number): number {
     const bucket = bucketOf(confidence)
     noteAnswer(countsOf(this.#estimates, kind, model), bucket, this.options.clock.now())
@@ -123,28 +126,31 @@
   }
 
   noteRating(answer: ServedAnswer, good: boolean): void {
-    if (answer.promised !== undefined) notePromise(this.#check, answer.promised, good)
+    if (answer.promised !== undefined) notePromise(this.#promiseCheck, answer.promised, good)
     const counts = countsOf(this.#estimates, answer.kind, answer.model)
     noteRating(counts, answer.bucket, good, this.options.clock.now())
   }
 
-  #refresh(known: KnownOrganisation, kind: KnownKind, limit: LimitRow): void {
+  #refreshPlan(state: OrganisationState, kind: RequestKind, limit: LimitRow): void {
     const now = this.options.clock.now()
-    if (now - known.pricedAt >= PRICE_FOR) {
-      known.pricedAt = now
-      const outlooks = [...known.kinds.values()].map(each => ({
+    if (now - state.pricedAt >= PRICE_TTL) {
+      state.pricedAt = now
+      const outlooks = [...state.kinds.values()].map(each => ({
         share: each.share,
         ...this.#outlookOf(each, limit),
       }))
-      known.price = solveQualityPrice(outlooks, correctedTarget(this.#check, limit.qualityTarget))
+      state.price = solveQualityPrice(
+        outlooks,
+        correctedTarget(this.#promiseCheck, limit.qualityTarget),
+      )
     }
-    if (kind.plan && now - kind.plannedAt < PLAN_FOR) return
+    if (kind.plan && now - kind.plannedAt < PLAN_TTL) return
     kind.plannedAt = now
     const { stages, millisecondOfDelay } = this.#outlookOf(kind, limit)
-    kind.plan = planCascade(stages, { badAnswer: known.price, millisecondOfDelay })
+    kind.plan = planCascade(stages, { badAnswer: state.price, millisecondOfDelay })
   }
 
-  #outlookOf({ name, stages, mayWait }: KnownKind, limit: LimitRow) {
+  #outlookOf({ name, stages, mayWait }: RequestKind, limit: LimitRow) {
     const outlooks: StageOutlook[] = stages.map(stage => ({
       ...stage,
       buckets: resolveBuckets(countsOf(this.#estimates, name, stage.model)),
@@ -156,25 +162,26 @@
   }
 
   #explore(kind: string, stages: readonly StageCosts[]): number | undefined {
-    if (stages.length < 2 || this.options.random() >= EXPLORATION) return undefined
+    if (stages.length < 2 || this.options.random() >= EXPLORATION_FRACTION) return undefined
     const other = Math.floor(this.options.random() * stages.length)
     const counts = countsOf(this.#estimates, kind, stages[other]!.model)
-    return ratedCount(counts) < EXPLORED_RATINGS ? other : undefined
+    return ratedCount(counts) < MIN_RATINGS ? other : undefined
   }
 
-  #learnsConfidence(kind: string, model: string): boolean {
+  #isCalibrationRequest(kind: string, model: string): boolean {
     const { rated } = countsOf(this.#estimates, kind, model)
-    const learned = rated.reduce((sum, count) => sum + count, 0)
-    const share = learned < LEARNED_RATINGS ? JUDGED_FOR_LEARNING : JUDGED_AFTERWARDS
-    return this.options.random() < share
+    const ratings = rated.reduce((sum, count) => sum + count, 0)
+    const fraction =
+      ratings < MIN_CALIBRATION_RATINGS ? INITIAL_CALIBRATION_FRACTION : CALIBRATION_FRACTION
+    return this.options.random() < fraction
   }
 
-  #organisationOf(name: string): KnownOrganisation {
+  #findOrAddOrganisation(name: string): OrganisationState {
     const known = this.#organisations.get(name)
     if (known) return known
-    const created: KnownOrganisation = {
+    const created: OrganisationState = {
       kinds: new Map(),
-      price: FIRST_PRICE,
+      price: INITIAL_BAD_ANSWER_PRICE,
       pricedAt: this.options.clock.now(),
     }
     this.#organisations.set(name, created)
@@ -182,33 +189,39 @@
   }
 }
 
-/** Notes that a request of the kind came, with what its stages are expected to cost. */
-function noteKind(
-  known: KnownOrganisation,
+/** Updates the moving averages of all kinds with a new request, and returns its kind. */
+function recordRequest(
+  organisation: OrganisationState,
   name: string,
   stages: readonly StageCosts[],
   mayWait: boolean,
-): KnownKind {
+): RequestKind {
   const key = `${name}/${stages.map(stage => stage.model).join('>')}/${mayWait}`
-  for (const kind of known.kinds.values()) kind.share *= 1 - KIND_STEP
-  const kind = known.kinds.get(key)
+  for (const kind of organisation.kinds.values()) kind.share *= 1 - SHARE_SMOOTHING_FACTOR
+  const kind = organisation.kinds.get(key)
   if (!kind) {
-    const created = { name, mayWait, share: KIND_STEP, stages: [...stages], plannedAt: -Infinity }
-    known.kinds.set(key, created)
+    const created = {
+      name,
+      mayWait,
+      share: SHARE_SMOOTHING_FACTOR,
+      stages: [...stages],
+      plannedAt: -Infinity,
+    }
+    organisation.kinds.set(key, created)
     return created
   }
-  kind.share += KIND_STEP
+  kind.share += SHARE_SMOOTHING_FACTOR
   kind.stages = kind.stages.map((stage, index) => smooth(stage, stages[index]!))
   return kind
 }
 
-const COST_STEP = 1 / 100
+const COST_SMOOTHING_FACTOR = 1 / 100
 
-function smooth(known: StageCosts, seen: StageCosts): StageCosts {
-  const mix = (left: number, right: number) => left + COST_STEP * (right - left)
+function smooth(average: StageCosts, sample: StageCosts): StageCosts {
+  const mix = (left: number, right: number) => left + COST_SMOOTHING_FACTOR * (right - left)
   return {
-    model: known.model,
-    cost: mix(known.cost, seen.cost),
-    wholeAnswerMilliseconds: mix(known.wholeAnswerMilliseconds, seen.wholeAnswerMilliseconds),
+    model: average.model,
+    cost: mix(average.cost, sample.cost),
+    wholeAnswerMilliseconds: mix(average.wholeAnswerMilliseconds, sample.wholeAnswerMilliseconds),
   }
 }
--- a/packages/box/src/tasks/recentAnswers.ts
+++ b/packages/box/src/tasks/recentAnswers.ts
@@ -1,58 +1,62 @@
 import type { Clock, Milliseconds } from '@yewkeel/decisions'
 
-/** A request as its caller sent it. */
+/** Content of a caller's request. */
 export interface RequestContent {
-  /** Path, caller and all else that makes two requests with the same body different. */
+  /** Path, caller and whatever else tells requests with the same body apart. */
   name: string
   body: Buffer
 }
 
-interface KeptAnswer extends RequestContent {
+interface AnsweredRequest extends RequestContent {
   at: Milliseconds
 }
 
-/** What came to a whole answer within this does not crash whoever runs it: longer than the longest answers take. */
-const KEPT_FOR: Milliseconds = 30_000
-const MOST_KEPT = 1_000
-/** Bytes of bodies. Some ten seconds of a busy box. */
-const MOST_BYTES = 2_000_000
+/** Longer than the longest answers take. */
+const ANSWER_TTL: Milliseconds = 30_000
+const MAX_ANSWERS = 1_000
+const MAX_BODY_BYTES = 2_000_000
 
 /**
- * Requests of this box that came to a whole answer a moment ago. Bodies are kept and compared: that costs nothing until an upstream ends, where a digest of each
- * request would cost 0.1 ms for 20 KB, a tenth of all that a box spends on it.
+ * Requests of this box that were answered completely within the last 30 seconds, and so don't crash
+ * their upstream. Compares bodies, because hashing each request would slow down all of them and
+ * lookups happen only after a crash.
  */
 export class RecentAnswers {
-  /** By name and length, the oldest first. */
-  readonly #kept = new Map<string, KeptAnswer>()
+  /** By `keyOf`, oldest first. */
+  readonly #answered = new Map<string, AnsweredRequest>()
   #bytes = 0
 
   constructor(private readonly clock: Clock) {}
 
   note({ name, body }: RequestContent): void {
     const key = keyOf(name, body)
-    this.#drop(key)
-    this.#kept.set(key, { name, body, at: this.clock.now() })
+    this.#remove(key)
+    this.#answered.set(key, { name, body, at: this.clock.now() })
     this.#bytes += body.length
-    while (this.#kept.size > MOST_KEPT || this.#bytes > MOST_BYTES) {
-      const [oldest] = this.#kept.keys()
-      this.#drop(oldest!)
+    while (this.#answered.size > MAX_ANSWERS || this.#bytes > MAX_BODY_BYTES) {
+      const [oldest] = this.#answered.keys()
+      this.#remove(oldest!)
     }
   }
 
   has({ name, body }: RequestContent): boolean {
-    const kept = this.#kept.get(keyOf(name, body))
-    return kept !== undefined && this.clock.now() - kept.at < KEPT_FOR && kept.body.equals(body)
+    const answered = this.#answered.get(keyOf(name, body))
+    return (
+      answered !== undefined &&
+      this.clock.now() - answered.at < ANSWER_TTL &&
+      answered.body.equals(body)
+    )
   }
 
-  #drop(key: string): void {
-    const kept = this.#kept.get(key)
-    if (!kept) return
-    this.#bytes -= kept.body.length
-    this.#kept.delete(key)
+  #remove(key: string): void {
+    const answered = this.#answered.get(key)
+    if (!answered) return
+    this.#bytes -= answered.body.length
+    this.#answered.delete(key)
   }
 }
 
-/** Of requests that differ in their bodies alone the newest is kept. */
+/** Requests with equal names and body lengths share a key: only the newest is kept. */
 function keyOf(name: string, body: Buffer): string {
   return `${name} ${body.length}`
 }
--- a/packages/box/src/tasks/recentCrashes.ts
+++ b/packages/box/src/tasks/recentCrashes.ts
@@ -1,31 +1,34 @@
 import type { Clock, Milliseconds } from '@yewkeel/decisions'
 
-/** Upstreams that end within this of each other, with nothing aboard in common, have a cause in common that is no request. */
-const AT_ONCE: Milliseconds = 200
-/** So many others at once: two may be the doing of two requests. */
-const MANY = 2
-/** Suspects are tried apart: where one or two were aboard, one of them may be the cause; where many were, they are those of an earlier such moment. */
-const FEW = 2
-/** Crashes are kept for as long as they may be asked for. */
-const KEPT_FOR: Milliseconds = 2_000
+/** Crashes this close together without a common request are taken to have another cause. */
+const SIMULTANEOUS_WINDOW: Milliseconds = 200
+/** Other simultaneous crashes needed, so that crashes by two separate requests don't count. */
+const MIN_OTHER_CRASHES = 2
+/**
+ * A crash with at most this many suspects in flight is put down to one of them, since suspects are
+ * tried separately. More of them stem from an earlier simultaneous crash.
+ */
+const MAX_EXPLAINING_SUSPECTS = 2
+const CRASH_TTL: Milliseconds = 2_000
 
 interface Crash {
   service: string
   at: Milliseconds
   requests: Set<string>
-  /** Those of them under which others had ended before. */
+  /** Those of `requests` that had been in flight during earlier crashes. */
   suspects: Set<string>
 }
 
-/** Upstreams that ended a moment ago, by their runs, and the requests that were aboard. */
+/** Recently crashed upstream processes, with the requests that were in flight at each. */
 export class RecentCrashes {
   readonly #crashes = new Map<string, Crash>()
 
   constructor(private readonly clock: Clock) {}
 
+  /** `upstream`: the crashed process. `wasSuspect`: `request` was in flight at an earlier crash. */
   note(upstream: string, service: string, request: string, wasSuspect: boolean): void {
     const now = this.clock.now()
-    for (const [run, { at }] of this.#crashes) if (now - at > KEPT_FOR) this.#crashes.delete(run)
+    for (const [id, { at }] of this.#crashes) if (now - at > CRASH_TTL) this.#crashes.delete(id)
     const crash = this.#crashes.get(upstream) ?? {
       service,
       at: now,
@@ -37,7 +40,7 @@
     this.#crashes.set(upstream, crash)
   }
 
-  /** Whether many upstreams of the service ended at the same moment without the request aboard. */
+  /** Whether several upstreams of the service crashed simultaneously without the request. */
   isOneOfMany(upstream: string, request: string): boolean {
     const own = this.#crashes.get(upstream)
     if (!own) return false
@@ -45,14 +48,15 @@
       other =>
         other !== own &&
         other.service === own.service &&
-        Math.abs(other.at - own.at) < AT_ONCE &&
+        Math.abs(other.at - own.at) < SIMULTANEOUS_WINDOW &&
         !other.requests.has(request) &&
         !isExplained(other),
     )
-    return others.length >= MANY
+    return others.length >= MIN_OTHER_CRASHES
   }
 }
 
+/** Whether a suspect request is the likely cause. */
 function isExplained({ suspects }: Crash): boolean {
-  return suspects.size > 0 && suspects.size <= FEW
+  return suspects.size > 0 && suspects.size <= MAX_EXPLAINING_SUSPECTS
 }
--- a/packages/box/src/tasks/reconcileBill.ts
+++ b/packages/box/src/tasks/reconcileBill.ts
@@ -18,32 +18,33 @@
 }
 
 /**
- * Asks the engine how a request ended whose box is gone. Gives the closed bill, `void` when there is nothing to
- * bill or it stands already, and undefined to ask again later.
+ * Asks the engine for the usage of a request whose box has stopped. Returns the closed bill, `void`
+ * when there is nothing to bill or the bill is already stored, or undefined when the caller must
+ * retry later.
  */
 export async function reconcileBill(
   bill: Bill,
   options: ReconcileOptions,
 ): Promise<Bill | 'void' | undefined> {
   const { store, client, upstreams } = options
-  const standing = await store.read([billKey(bill.requestId)])
-  if (standing.outcome === 'read' && standing.rows.length > 0) return 'void'
+  const stored = await store.read([billKey(bill.requestId)])
+  if (stored.outcome === 'read' && stored.rows.length > 0) return 'void'
   const view = bill.stream && upstreams.views.get(bill.stream.upstream)
-  if (!bill.stream || !view) return closeWith(bill, undefined, options)
+  if (!bill.stream || !view) return closeBill(bill, undefined, options)
   try {
     const path = `/v1/streams/${encodeURIComponent(bill.stream.id)}?status=only`
     const answer = await client.send(view.address, { method: 'GET', path, headers: {} })
     const text = await readText(answer.body)
-    if (answer.status === 404) return closeWith(bill, undefined, options)
+    if (answer.status === 404) return closeBill(bill, undefined, options)
     if (!(JSON.parse(text) as { done: boolean }).done) return undefined
-    return closeWith(bill, text, options)
+    return closeBill(bill, text, options)
   } catch {
     return undefined
   }
 }
 
-/** What earlier stages cost stays; the last stream costs what the engine counted. */
-function closeWith(
+/** Keeps the lines of earlier stages and adds the last stream, by the engine's token counts. */
+function closeBill(
   bill: Bill,
   text: string | undefined,
   { rights }: ReconcileOptions,
@@ -52,7 +53,7 @@
   const served = bill.stream?.id.split('/').at(-2) ?? ''
   const version = parseVersion(served)
   if (!usage || !version) {
-    // A service call may have run; an engine that knows no such stream has run nothing that can be billed.
+    // A service call may have run. An engine that doesn't know the stream has run nothing billable.
     return bill.lines.length > 0 || !version ? { ...bill, outcome: 'cut-off' } : 'void'
   }
   const cost = costOf(rights().priceOf(version), usage)
--- a/packages/box/src/tasks/rowCreator.ts
+++ b/packages/box/src/tasks/rowCreator.ts
@@ -1,15 +1,15 @@
 import type { Clock, Milliseconds, TableService } from '@yewkeel/decisions'
 import { sleep } from '@yewkeel/decisions'
 
-/** A row to be created if absent. */
+/** A row to create unless its key exists. */
 export interface NewRow {
   key: string
   value: string
 }
 
 /**
- * What became of a row. `created`: it stands with this value, by this write. `exists`: another value stood
- * before. `absent`: known not to be written. `unknown`: nobody can say yet.
+ * Outcome of a creation. `created`: the row is stored with this value. `exists`: the key already
+ * has another value. `absent`: the row was not written. `unknown`: the row may have been written.
  */
 export type RowOutcome =
   | { outcome: 'created' }
@@ -17,21 +17,21 @@
   | { outcome: 'absent' }
   | { outcome: 'unknown' }
 
-interface WaitingRow extends NewRow {
+interface QueuedRow extends NewRow {
   resolve(outcome: RowOutcome): void
 }
 
-/** Rows in one transaction. */
+/** Rows per transaction. */
 const BATCH_SIZE = 100
-const READ_TRIES = 3
-const READ_PAUSE: Milliseconds = 100
+const MAX_READ_ATTEMPTS = 3
+const READ_RETRY_DELAY: Milliseconds = 100
 
 /**
- * Creates rows in groups: those that come while a transaction is under way share the next one. Each row is
- * created or not on its own, and a lost answer is cleared up by reading.
+ * Creates rows in batches: rows queued during a transaction share the next one. Each row succeeds
+ * or fails on its own; after a lost reply its outcome is determined by reading.
  */
 export class RowCreator {
-  readonly #waiting: WaitingRow[] = []
+  readonly #queue: QueuedRow[] = []
   #isWriting = false
 
   constructor(
@@ -41,23 +41,23 @@
 
   create(row: NewRow): Promise<RowOutcome> {
     return new Promise(resolve => {
-      this.#waiting.push({ ...row, resolve })
-      if (!this.#isWriting) void this.#writeAll()
+      this.#queue.push({ ...row, resolve })
+      if (!this.#isWriting) void this.#writeQueue()
     })
   }
 
-  async #writeAll(): Promise<void> {
+  async #writeQueue(): Promise<void> {
     this.#isWriting = true
-    while (this.#waiting.length > 0) await this.#writeGroup(this.#waiting.splice(0, BATCH_SIZE))
+    while (this.#queue.length > 0) await this.#writeBatch(this.#queue.splice(0, BATCH_SIZE))
     this.#isWriting = false
   }
 
-  async #writeGroup(group: WaitingRow[]): Promise<void> {
-    const rows = group.filter(
-      (row, index) => group.findIndex(other => other.key === row.key) === index,
+  async #writeBatch(batch: QueuedRow[]): Promise<void> {
+    const rows = batch.filter(
+      (row, index) => batch.findIndex(other => other.key === row.key) === index,
     )
-    // Two attempts on one key in one group: the first decides, the others see what stands afterwards.
-    const repeated = group.filter(row => !rows.includes(row))
+    // Duplicate keys: the first row is written; the others join the next batch and find it stored.
+    const duplicates = batch.filter(row => !rows.includes(row))
     const outcome = await this.table.commit({
       conditions: rows.map(({ key }) => ({ key, version: 0 })),
       writes: rows.map(({ key, value }) => ({ key, value })),
@@ -65,22 +65,22 @@
     if (outcome === 'committed') rows.forEach(row => row.resolve({ outcome: 'created' }))
     else if (outcome === 'unavailable') rows.forEach(row => row.resolve({ outcome: 'absent' }))
     else await this.#resolveByReading(rows, outcome === 'conflict')
-    this.#waiting.unshift(...repeated)
+    this.#queue.unshift(...duplicates)
   }
 
-  /** After a conflict no row of the group was written: what is absent goes into the next group. */
-  async #resolveByReading(rows: WaitingRow[], mayRetry: boolean): Promise<void> {
-    const standing = await this.#read(rows.map(row => row.key))
+  /** `mayRetry`: no row of the batch was written, so absent rows are queued again. */
+  async #resolveByReading(rows: QueuedRow[], mayRetry: boolean): Promise<void> {
+    const stored = await this.#read(rows.map(row => row.key))
     for (const row of rows) {
-      const stands = standing?.get(row.key)
-      if (stands) row.resolve(stands.value === row.value ? { outcome: 'created' } : stands)
-      else if (standing && mayRetry) this.#waiting.push(row)
+      const existing = stored?.get(row.key)
+      if (existing) row.resolve(existing.value === row.value ? { outcome: 'created' } : existing)
+      else if (stored && mayRetry) this.#queue.push(row)
       else row.resolve({ outcome: 'unknown' })
     }
   }
 
   async #read(keys: string[]) {
-    for (let tries = 0; tries < READ_TRIES; tries++) {
+    for (let attempt = 0; attempt < MAX_READ_ATTEMPTS; attempt++) {
       const answer = await this.table.read(keys)
       if (answer.outcome === 'read') {
         return new Map(
@@ -90,7 +90,7 @@
           ]),
         )
       }
-      await sleep(this.clock, READ_PAUSE)
+      await sleep(this.clock, READ_RETRY_DELAY)
     }
     return undefined
   }
--- a/packages/box/src/tasks/streamFinder.ts
+++ b/packages/box/src/tasks/streamFinder.ts
@@ -1,43 +1,44 @@
 import type { Bill, Clock, Milliseconds } from '@yewkeel/decisions'
 import type { PeerMessage } from '../types/peerMessage.js'
 
-const PATIENCE: Milliseconds = 500
+const REPLY_TIMEOUT: Milliseconds = 500
 
-/** Finds the box that knows where a request runs, to take an answer up again after its first box died. */
+/** Finds the bill of a running request, to resume its answer after its box crashed. */
 export class StreamFinder {
   readonly #waiting = new Map<string, (bill: Bill) => void>()
 
   constructor(
     private readonly options: {
       clock: Clock
-      findHere(requestId: string): Bill | undefined
+      findLocal(requestId: string): Bill | undefined
       sendToAll(message: PeerMessage): void
     },
   ) {}
 
-  /** The bill of a request that this box or a peer holds. */
+  /** Returns the bill that this box or a peer holds, or undefined when no peer replies in time. */
   async find(requestId: string): Promise<Bill | undefined> {
-    const { findHere, sendToAll, clock } = this.options
-    const here = findHere(requestId)
-    if (here) return here
+    const { findLocal, sendToAll, clock } = this.options
+    const local = findLocal(requestId)
+    if (local) return local
     return new Promise(resolve => {
-      const finish = (bill?: Bill) => {
+      const settle = (bill?: Bill) => {
         this.#waiting.delete(requestId)
         timer.cancel()
         resolve(bill)
       }
-      const timer = clock.after(PATIENCE, finish)
-      this.#waiting.set(requestId, finish)
+      const timer = clock.after(REPLY_TIMEOUT, settle)
+      this.#waiting.set(requestId, settle)
       sendToAll({ type: 'stream-question', requestId })
     })
   }
 
+  /** Reply to a peer's `stream-question`; undefined when this box doesn't hold the bill. */
   answer(requestId: string): PeerMessage | undefined {
-    const bill = this.options.findHere(requestId)
+    const bill = this.options.findLocal(requestId)
     return bill && { type: 'stream-answer', requestId, bill }
   }
 
-  hear(requestId: string, bill: Bill | undefined): void {
+  receiveAnswer(requestId: string, bill: Bill | undefined): void {
     if (bill) this.#waiting.get(requestId)?.(bill)
   }
 }
--- a/packages/box/src/tasks/suspectTable.ts
+++ b/packages/box/src/tasks/suspectTable.ts
@@ -1,47 +1,43 @@
 import { UNSUSPECTED, type Clock, type Milliseconds, type Suspicion } from '@yewkeel/decisions'
 import type { ToldTrial } from '../types/suspects.js'
 
-/** One run of a suspect, here or at another box. */
+/** One trial of a suspect request, at this box or another. */
 export interface Trial extends ToldTrial {
-  /** Whoever holds it may have ended: it stands no longer than this. */
+  /** When it expires, since its holder may have crashed. */
   until: Milliseconds
 }
 
-/** A request that was at an upstream when its process ended. */
+/** A request that was in flight at an upstream when its process crashed. */
 export interface Suspect extends Suspicion {
   request: string
-  /** When something of it was last heard that changed. */
+  /** When its `Suspicion` last changed. */
   changedAt: Milliseconds
   trial?: Trial | undefined
-  /** A trial has outlasted its time since the last crash. */
+  /** A sent trial expired without another crash: no more trials are needed. */
   isFree: boolean
-  /** Not run before. */
+  /** Earliest time of its next trial. */
   heldUntil: Milliseconds
-  /** Newest trials that were told of, by their holders. */
+  /** Newest trial reported by each holder. */
   told: Map<string, ToldTrial>
-  /** Other boxes know of it. */
+  /** Shared with other boxes. */
   isKnown: boolean
-  /** The newest runs of upstreams that ended under it. */
+  /** The latest upstream processes that crashed with it in flight. */
   upstreams: string[]
 }
 
-/** That a request was cleared is kept while runs of it may be under way that were sent before: the longest go on for 25 s. */
-const CLEARED_FOR: Milliseconds = 30_000
-/** What is held against a request that comes no more is forgotten after this, and what it was condemned for ... */
-const SUSPECTED_FOR: Milliseconds = 5 * 60_000
-/** ... after this: it is then tried again, at three upstreams at the most. Upstreams may have been mended meanwhile. */
+/** Cleared requests are kept while attempts sent before may still be in flight. */
+const CLEARED_TTL: Milliseconds = 30_000
+const SUSPECT_TTL: Milliseconds = 5 * 60_000
+/** Quarantine ends after this, and the request is tried again: upstreams may have been fixed. */
 export const CONDEMNED_FOR: Milliseconds = 10 * 60_000
-/**
- * A crash makes suspects of all aboard, 64 on a full engine; beyond this those are forgotten first of which nothing was heard for longest, and
- * condemned ones last. 0.4 MB.
- */
+/** Beyond this the least recently changed are evicted, quarantined ones last. */
 export const MOST_SUSPECTS = 2_000
 
-/** The requests of which something is known, those that changed last at the end. Bounded in number and time. */
+/** Suspect, cleared and quarantined requests, by time of last change. Bounded in size and age. */
 export class SuspectTable {
   readonly #suspects = new Map<string, Suspect>()
-  /** Condemned requests that have lapsed and were not yet taken. */
-  #lapsed: string[] = []
+  /** Requests whose quarantine has expired, until `takeLapsed` returns them. */
+  #expiredQuarantines: string[] = []
 
   constructor(private readonly clock: Clock) {}
 
@@ -53,19 +49,20 @@
     return [...this.#suspects.values()]
   }
 
+  /** Removes the entry if it has expired. */
   find(request: string): Suspect | undefined {
     const suspect = this.#suspects.get(request)
-    if (!suspect || !this.#isLapsed(suspect)) return suspect
+    if (!suspect || !this.#isExpired(suspect)) return suspect
     this.#suspects.delete(request)
-    if (suspect.isCondemned) this.#lapsed.push(request)
+    if (suspect.isCondemned) this.#expiredQuarantines.push(request)
     return undefined
   }
 
-  /** `suspicion`: what is held against it, if it is not known yet. */
+  /** `suspicion`: state of a new entry. */
   findOrAdd(request: string, suspicion: Suspicion = UNSUSPECTED): Suspect {
     const known = this.find(request)
     if (known) return known
-    if (this.#suspects.size >= MOST_SUSPECTS) this.#forgetOldest()
+    if (this.#suspects.size >= MOST_SUSPECTS) this.#evictOldest()
     const suspect: Suspect = {
       ...suspicion,
       request,
@@ -80,7 +77,7 @@
     return suspect
   }
 
-  /** What came of earlier trials counts no more. */
+  /** Updates the suspicion and discards the outcome of earlier trials. */
   change(suspect: Suspect, { epoch, crashes, excused, isCondemned }: Suspicion): void {
     Object.assign(suspect, { epoch, crashes, excused, isCondemned })
     suspect.isFree = false
@@ -90,20 +87,20 @@
     this.#suspects.set(suspect.request, suspect)
   }
 
-  /** Forgets what has lapsed. Gives the condemned requests among it, each once. */
+  /** Removes expired entries. Returns the requests whose quarantine has expired, each once. */
   takeLapsed(): string[] {
     for (const { request } of this.all()) this.find(request)
-    const lapsed = this.#lapsed
-    this.#lapsed = []
-    return lapsed
+    const expired = this.#expiredQuarantines
+    this.#expiredQuarantines = []
+    return expired
   }
 
-  #isLapsed({ changedAt, crashes, isCondemned }: Suspect): boolean {
-    const heldFor = isCondemned ? CONDEMNED_FOR : crashes > 0 ? SUSPECTED_FOR : CLEARED_FOR
-    return this.clock.now() - changedAt >= heldFor
+  #isExpired({ changedAt, crashes, isCondemned }: Suspect): boolean {
+    const ttl = isCondemned ? CONDEMNED_FOR : crashes > 0 ? SUSPECT_TTL : CLEARED_TTL
+    return this.clock.now() - changedAt >= ttl
   }
 
-  #forgetOldest(): void {
+  #evictOldest(): void {
     let oldest: string | undefined
     for (const { request, isCondemned } of this.#suspects.values()) {
       oldest ??= request
--- a/packages/box/src/tasks/tableRows.ts
+++ b/packages/box/src/tasks/tableRows.ts
@@ -10,22 +10,24 @@
   type TableSnapshot,
 } from '@yewkeel/decisions'
 
-/** Beyond this many missing revisions the snapshot is read instead of the changes. */
-const LARGEST_CATCH_UP = 64
+/** A replica that is more revisions behind reads the snapshot instead of the changes. */
+const MAX_CHANGES_READ = 64
 
 /**
- * The table at the store's head: by the changes that the copy lacks, or by the snapshot when it lacks many.
- * Undefined when the store does not answer.
+ * Brings a replica up to revision `head`, from the changes it lacks or from the snapshot. A head
+ * below the replica's revision gives an empty table at that revision. Undefined when the store
+ * doesn't reply.
  */
 export async function readNewerTable(
   store: TableService,
-  copy: Table,
+  replica: Table,
   head: number,
   onChanges: (changes: AcceptedChange[]) => void,
 ): Promise<Table | undefined> {
-  if (head === copy.revision) return copy
-  if (head < copy.revision) return { revision: head, rows: new Map() }
-  if (head - copy.revision <= LARGEST_CATCH_UP) return readChanges(store, copy, head, onChanges)
+  if (head === replica.revision) return replica
+  if (head < replica.revision) return { revision: head, rows: new Map() }
+  if (head - replica.revision <= MAX_CHANGES_READ)
+    return readChanges(store, replica, head, onChanges)
   const answer = await store.read([TABLE_KEYS.snapshot])
   if (answer.outcome !== 'read') return undefined
   const snapshot = parseRow<TableSnapshot>(answer.rows[0])
@@ -34,13 +36,13 @@
 
 async function readChanges(
   store: TableService,
-  copy: Table,
+  replica: Table,
   head: number,
   onChanges: (changes: AcceptedChange[]) => void,
 ): Promise<Table | undefined> {
   const answer = await store.list(TABLE_KEYS.changePrefix, {
-    after: TABLE_KEYS.change(copy.revision),
-    limit: LARGEST_CATCH_UP,
+    after: TABLE_KEYS.change(replica.revision),
+    limit: MAX_CHANGES_READ,
   })
   if (answer.outcome !== 'read') return undefined
   const changes = answer.rows.map(row => JSON.parse(row.value) as AcceptedChange)
@@ -48,12 +50,12 @@
   const table = changes.reduce(
     (table, change) =>
       change.revision === table.revision + 1 ? applyChange(table, change, change.revision) : table,
-    copy,
+    replica,
   )
   return table.revision >= head ? table : undefined
 }
 
-/** What the row under a change's id says of the change. */
+/** Outcome of a change, from the row stored under its id. */
 export function outcomeOfRow(row: StoreRow): ChangeOutcome {
   const value = JSON.parse(row.value) as { revision?: number; refused?: boolean }
   if (value.revision !== undefined) return { outcome: 'accepted', revision: value.revision }
@@ -64,7 +66,7 @@
   return new Map(rows.map(row => [row.key, row]))
 }
 
-/** The value of a row, undefined for an absent one. */
+/** The parsed value of a row, or undefined for a missing row. */
 export function parseRow<T>(row: StoreRow | undefined): T | undefined {
   return row && (JSON.parse(row.value) as T)
 }
--- a/packages/box/src/tasks/tableTask.ts
+++ b/packages/box/src/tasks/tableTask.ts
@@ -43,25 +43,25 @@
   limits?: FreshnessLimits
   send(to: VoterId, message: PeerMessage): void
   sendToAll(message: PeerMessage): void
-  /** Whether this box reads the store itself, or lets others tell it. */
+  /** Whether this box polls the store; the others learn its revision from heartbeats. */
   isPoller(): boolean
 }
 
-const POLL_EVERY: Milliseconds = 500
-/** A box that does not poll still reads the store when others' word is older than this. */
-const PEER_CONFIRMATION_FOR: Milliseconds = 1_200
-const REGISTER_EVERY: Milliseconds = 1_000
+const POLL_INTERVAL: Milliseconds = 500
+/** Age of the last confirmation from which a box that doesn't poll reads the store itself. */
+const MAX_CONFIRMATION_AGE: Milliseconds = 1_200
+const REGISTER_INTERVAL: Milliseconds = 1_000
 
-/** Owns a box's copy of the table: reads the store, hears peers, and writes changes for operators. */
+/** Owns a box's table replica: polls the store, merges peers' updates, writes changes. */
 export class TableTask {
   readonly #state: TableState
   readonly #task: Task<TableMessage>
-  readonly #answers = new Map<string, (outcome: ChangeOutcome) => void>()
+  readonly #pendingProposals = new Map<string, (outcome: ChangeOutcome) => void>()
   readonly #changeListeners: ((table: Table) => void)[] = []
-  #rights: { table: Table; open: string; rights: Rights[] } | undefined
+  #rightsCache: { table: Table; open: string; rights: Rights[] } | undefined
   readonly #writer: ProposalWriter
   #isReading = false
-  #registering = false
+  #isRegistering = false
   #timers: { cancel(): void }[] = []
 
   constructor(private readonly options: TableTaskOptions) {
@@ -82,9 +82,9 @@
     const { clock } = this.options
     void this.readStore()
     this.#timers = [
-      every(clock, POLL_EVERY, () => this.#poll()),
-      every(clock, POLL_EVERY, () => this.#task.post({ type: 'tick' })),
-      every(clock, REGISTER_EVERY, () => this.#register()),
+      every(clock, POLL_INTERVAL, () => this.#poll()),
+      every(clock, POLL_INTERVAL, () => this.#task.post({ type: 'tick' })),
+      every(clock, REGISTER_INTERVAL, () => this.#register()),
     ]
   }
 
@@ -100,13 +100,13 @@
     this.#changeListeners.push(listener)
   }
 
-  /** The store that the table lies in, for operators' questions. */
+  /** The table's store, for operators' queries. */
   get store(): TableService {
     return this.options.table
   }
 
-  /** Takes a whole table that a peer sent. */
-  takeTable(reply: { revision: number; rows: TableRow[]; voters?: VoterSet }): void {
+  /** Receives a whole table from a peer. */
+  receiveTable(reply: { revision: number; rows: TableRow[]; voters?: VoterSet }): void {
     const { revision, rows, voters } = reply
     this.post({
       type: 'table-heard',
@@ -127,24 +127,24 @@
     return isStoreOut(this.#state, this.options.clock.now())
   }
 
-  /** Every table that a request must satisfy: the copy, and what open changes would make of it. */
+  /** Rights that a request must all satisfy: by the replica, and with open changes applied. */
   rights(): Rights[] {
     const { table } = this.#state
-    // Indexing costs a pass over the table; while a change is open it must not fall on every request.
+    // Cached, because resolving the rights passes over the whole table.
     const open = [...this.#state.open.keys()].join('\n')
-    const known = this.#rights
-    if (known && known.table === table && known.open === open) return known.rights
+    const cached = this.#rightsCache
+    if (cached && cached.table === table && cached.open === open) return cached.rights
     const rights = resolveTablesInDoubt(this.#state).map(resolveRights)
-    this.#rights = { table, open, rights }
+    this.#rightsCache = { table, open, rights }
     return rights
   }
 
-  /** Submits a change. Resolves when it is accepted, refused, or not to be known for now. */
+  /** Submits a change. Resolves once accepted or refused, or `pending` while that is unknown. */
   propose(change: TableChange): Promise<ChangeOutcome> {
     return this.#propose({ id: change.changeId, content: { kind: 'change', change } })
   }
 
-  /** What became of a change that was submitted before. */
+  /** Looks up the outcome of a change that was submitted before. */
   async findChange(changeId: string): Promise<ChangeOutcome> {
     const answer = await this.options.table.read([TABLE_KEYS.changeId(changeId)])
     if (answer.outcome !== 'read') {
@@ -158,7 +158,7 @@
     return { outcome: 'refused', message: 'no such change was accepted' }
   }
 
-  /** Reads the head, and what is new after it. */
+  /** Reads the head revision and the voter set, and updates the replica. */
   async readStore(): Promise<void> {
     if (this.#isReading) return
     this.#isReading = true
@@ -183,30 +183,30 @@
   async #poll(): Promise<void> {
     const { clock, isPoller } = this.options
     const confirmedAge = clock.now() - (this.#state.confirmedAt ?? -Infinity)
-    if (isPoller() || confirmedAge > PEER_CONFIRMATION_FOR) await this.readStore()
+    if (isPoller() || confirmedAge > MAX_CONFIRMATION_AGE) await this.readStore()
   }
 
   #propose(proposal: Proposal): Promise<ChangeOutcome> {
     return new Promise(resolve => {
-      this.#answers.set(proposal.id, resolve)
+      this.#pendingProposals.set(proposal.id, resolve)
       this.#task.post({ type: 'propose', proposal })
     })
   }
 
-  /** Becomes a voter, and drops voters that are gone. */
+  /** Adds this box to the voter set; the first live voter also removes stopped ones. */
   async #register(): Promise<void> {
     const { self } = this.options
     const { voters, gone } = this.#state
-    if (this.#registering || this.isStoreOut() || this.#state.storeReadAt === undefined) return
+    if (this.#isRegistering || this.isStoreOut() || this.#state.storeReadAt === undefined) return
     const isMember = voters?.voters.includes(self)
-    const hasGone = voters?.voters.some(voter => gone.has(voter))
+    const hasGoneVoters = voters?.voters.some(voter => gone.has(voter))
     const isFirst = voters?.voters.find(voter => !gone.has(voter)) === self
-    if (isMember && !(hasGone && isFirst)) return
-    this.#registering = true
+    if (isMember && !(hasGoneVoters && isFirst)) return
+    this.#isRegistering = true
     const set = nextVoterSet(voters, self, gone)
     const id = `voters-${set.epoch}-${self}-${this.options.clock.now().toFixed(3)}`
     await this.#propose({ id, content: { kind: 'voters', set } })
-    this.#registering = false
+    this.#isRegistering = false
   }
 
   #run(effect: TableEffect): void {
@@ -218,8 +218,8 @@
       case 'commit':
         return void this.#commit(effect.proposal)
       case 'answer':
-        this.#answers.get(effect.id)?.(effect.outcome)
-        this.#answers.delete(effect.id)
+        this.#pendingProposals.get(effect.id)?.(effect.outcome)
+        this.#pendingProposals.delete(effect.id)
         return
       case 'tell-settled': {
         return this.options.sendToAll({ ...effect, type: 'settled' })
@@ -227,25 +227,25 @@
       case 'settle':
         return void this.#settle(effect.proposal)
       case 'table-changed':
-        this.options.log.info({ revision: effect.table.revision }, 'the table has changed')
+        this.options.log.info({ revision: effect.table.revision }, 'the table replica was updated')
         return this.#changeListeners.forEach(listener => listener(effect.table))
       case 'fetch-table':
         return this.options.send(effect.from, { type: 'table-request', above: effect.above })
       case 'store-went-back':
         return this.options.log.error(
           { floor: effect.floor, shown: effect.shown },
-          'the store shows an older table than was accepted; the newer copy is kept, changes are refused',
+          'the store is behind an accepted revision; keeping the newer replica, refusing changes',
         )
     }
   }
 
   async #commit(proposal: Proposal): Promise<void> {
-    const outcome = await this.#writeUnlessBack(proposal)
+    const outcome = await this.#writeUnlessRolledBack(proposal)
     this.#task.post({ type: 'commit-answered', id: proposal.id, outcome })
     if (outcome.outcome === 'accepted') void this.readStore()
   }
 
-  #writeUnlessBack(proposal: Proposal): Promise<ChangeOutcome> {
+  #writeUnlessRolledBack(proposal: Proposal): Promise<ChangeOutcome> {
     if (!this.#state.storeWentBack) return this.#writer.write(proposal)
     return Promise.resolve({
       outcome: 'refused',
@@ -253,7 +253,7 @@
     })
   }
 
-  /** Settles a proposal whose proposer has gone quiet. */
+  /** Settles a proposal whose proposer has stopped responding. */
   async #settle(proposal: Proposal): Promise<void> {
     const outcome = await this.#writer.fence(proposal.id)
     if (!outcome || outcome.outcome === 'pending') return
--- a/packages/box/src/tasks/upstreamTask.ts
+++ b/packages/box/src/tasks/upstreamTask.ts
@@ -12,7 +12,7 @@
 import type { ListedMachine, Log, UpstreamClient } from '../types/ports.js'
 import { every } from './every.js'
 
-/** An upstream that the settings name. */
+/** An upstream from the settings. */
 export interface ConfiguredUpstream {
   name: string
   kind: 'engine' | 'service'
@@ -28,16 +28,18 @@
   clock: Clock
   log: Log
   listMachines(): Promise<readonly ListedMachine[] | undefined>
+  /** Receives the names of all entry boxes on the platform's list. */
   onEntryBoxes(names: ReadonlySet<string>): void
 }
 
-const REPORT_EVERY: Milliseconds = 1_000
-const REPORT_PATIENCE: Milliseconds = 2_000
-const LIST_EVERY: Milliseconds = 1_000
-/** An upstream that is off the list this long is dropped; the list lags and flickers. */
-const DROP_AFTER: Milliseconds = 3_000
+const REPORT_INTERVAL: Milliseconds = 1_000
+const REPORT_TIMEOUT: Milliseconds = 2_000
+const LIST_INTERVAL: Milliseconds = 1_000
+/** Upstreams missing from the list for longer are removed; the list may lag or omit entries. */
+const UNLISTED_TTL: Milliseconds = 3_000
 
-interface ReportBody {
+/** Body of an upstream's `/load` response. */
+interface LoadReportBody {
   running: number
   waiting: number
   slots: number
@@ -47,21 +49,21 @@
   loading?: string
 }
 
-/** What placement needs to know of an engine beside its load. */
+/** Facts about an engine that placement uses, beside its load. */
 export interface EngineFacts {
   room: number
   loading?: string
   checksFence: boolean
 }
 
-/** Knows the upstreams: which there are, what they serve, how loaded they are. */
+/** Discovers the upstreams and polls what they serve and their load. */
 export class UpstreamTask {
   readonly views = new Map<string, UpstreamView>()
   readonly facts = new Map<string, EngineFacts>()
   readonly prefixes = new PrefixMap()
   readonly #pools = new Map<string, UpstreamView[]>()
   readonly #peerInFlight = new Map<VoterId, readonly [string, number][]>()
-  readonly #lastListed = new Map<string, Milliseconds>()
+  readonly #lastListedAt = new Map<string, Milliseconds>()
   #emptying: ReadonlySet<string> = new Set()
   #timers: { cancel(): void }[] = []
 
@@ -69,14 +71,14 @@
     for (const upstream of options.configured) this.#add(upstream)
   }
 
-  /** Resolves when each known upstream has been asked once. */
+  /** Resolves after the first load report, or its timeout, of each known upstream. */
   async start(): Promise<void> {
     const { clock } = this.options
     await this.#readList()
     await this.#readReports()
     this.#timers = [
-      every(clock, LIST_EVERY, () => this.#readList()),
-      every(clock, REPORT_EVERY, () => this.#readReports()),
+      every(clock, LIST_INTERVAL, () => this.#readList()),
+      every(clock, REPORT_INTERVAL, () => this.#readReports()),
     ]
   }
 
@@ -84,7 +86,7 @@
     this.#timers.forEach(timer => timer.cancel())
   }
 
-  /** Upstreams that serve a version or a service, whether or not they take work now. */
+  /** Upstreams that serve a version or a service, in any state. */
   poolOf(served: string): readonly UpstreamView[] {
     return this.#pools.get(served) ?? []
   }
@@ -93,7 +95,7 @@
     return this.poolOf(served).some(view => view.state === 'live')
   }
 
-  /** Requests under way against slots, over the live upstreams of a pool. */
+  /** Predicted load per slot of the live, not ejected upstreams; `Infinity` without any. */
   utilisationOf(served: string): number {
     const now = this.options.clock.now()
     let load = 0
@@ -106,7 +108,7 @@
     return slots > 0 ? load / slots : Infinity
   }
 
-  /** Names of engines that are emptied for a change: they get no new work. */
+  /** Sets the engines that drain for a change of version: they get no new requests. */
   setEmptying(engines: ReadonlySet<string>): void {
     this.#emptying = engines
     for (const view of this.views.values()) this.#refreshState(view)
@@ -116,19 +118,19 @@
     return this.#emptying
   }
 
-  /** The upstream answered for another version than it said it runs. */
+  /** Removes `served` from an upstream that answered with another version. */
   noteLie(view: UpstreamView, served: string): void {
     this.options.log.warn(
       { upstream: view.id, version: served },
-      'an upstream answered for another version',
+      'the upstream answered with another version than it reports',
     )
     view.serves.delete(served)
     this.#indexPools()
   }
 
   setPeerInFlight(peer: VoterId, inFlight: readonly [string, number][]): void {
-    for (const [id, count] of this.#peerInFlight.get(peer) ?? []) this.#addPeers(id, -count)
-    for (const [id, count] of inFlight) this.#addPeers(id, count)
+    for (const [id, count] of this.#peerInFlight.get(peer) ?? []) this.#addPeerInFlight(id, -count)
+    for (const [id, count] of inFlight) this.#addPeerInFlight(id, count)
     this.#peerInFlight.set(peer, inFlight)
   }
 
@@ -137,14 +139,14 @@
     this.#peerInFlight.delete(peer)
   }
 
-  /** This box's requests under way, by upstream. */
+  /** This box's requests in flight, by upstream. */
   ownInFlight(): [string, number][] {
     return [...this.views.values()]
       .filter(view => view.inFlight > 0)
       .map(view => [view.id, view.inFlight])
   }
 
-  #addPeers(id: string, count: number): void {
+  #addPeerInFlight(id: string, count: number): void {
     const view = this.views.get(id)
     if (view) view.peersInFlight = Math.max(0, view.peersInFlight + count)
   }
@@ -152,7 +154,7 @@
   #add(upstream: ConfiguredUpstream): UpstreamView {
     const { name, kind, address, dataCentre, slots, checksFence } = upstream
     const view = createUpstreamView({ id: name, kind, address, dataCentre, slots })
-    // A plain service serves its own name; its load report may name no versions.
+    // The load report of a plain service need not list any versions.
     if (kind === 'service') view.serves.add(serviceOf(name))
     this.views.set(name, view)
     this.facts.set(name, { room: 1, checksFence })
@@ -170,7 +172,7 @@
     for (const machine of machines) {
       if (machine.role === 'entry') continue
       const { name, role, address, dataCentre, slots = 8, checksFence = false } = machine
-      this.#lastListed.set(name, now)
+      this.#lastListedAt.set(name, now)
       const known = this.views.get(name)
       const view =
         known?.address === address
@@ -178,18 +180,18 @@
           : this.#add({ name, kind: role, address, dataCentre, slots, checksFence })
       view.state = machine.state
     }
-    this.#dropUnlisted(now)
+    this.#removeUnlisted(now)
   }
 
-  #dropUnlisted(now: Milliseconds): void {
-    for (const [name, listedAt] of this.#lastListed) {
+  #removeUnlisted(now: Milliseconds): void {
+    for (const [name, listedAt] of this.#lastListedAt) {
       const view = this.views.get(name)
-      if (!view || now - listedAt <= DROP_AFTER) continue
+      if (!view || now - listedAt <= UNLISTED_TTL) continue
       view.state = 'gone'
       if (view.inFlight > 0) continue
       this.views.delete(name)
       this.facts.delete(name)
-      this.#lastListed.delete(name)
+      this.#lastListedAt.delete(name)
       this.#indexPools()
     }
   }
@@ -206,19 +208,19 @@
       const answer = await client.send(
         view.address,
         { method: 'GET', path: '/load', headers: {} },
-        { answerWithin: REPORT_PATIENCE },
+        { answerWithin: REPORT_TIMEOUT },
       )
-      const report = JSON.parse(await readText(answer.body)) as ReportBody
-      this.#takeReport(view, report, askedAt)
+      const report = JSON.parse(await readText(answer.body)) as LoadReportBody
+      this.#applyReport(view, report, askedAt)
     } catch {
-      // The next report or the requests themselves will show what is wrong.
+      // Failing upstreams are detected by their requests; the report is polled again.
     }
   }
 
-  #takeReport(view: UpstreamView, report: ReportBody, askedAt: Milliseconds): void {
+  #applyReport(view: UpstreamView, report: LoadReportBody, askedAt: Milliseconds): void {
     noteReport(view, { at: askedAt, running: report.running, waiting: report.waiting })
     view.slots = report.slots
-    // The upstream itself knows first that it leaves; the list follows.
+    // An upstream reports that it drains before the list does.
     if (report.leaving) view.state = 'leaving'
     if (view.kind === 'service') return
     view.serves = new Set(report.versions)
@@ -236,7 +238,7 @@
     if (
       !this.#emptying.has(view.id) &&
       view.state === 'leaving' &&
-      !this.#lastListed.has(view.id)
+      !this.#lastListedAt.has(view.id)
     ) {
       view.state = 'live'
     }
@@ -254,7 +256,7 @@
   }
 }
 
-/** Replicas of a service are named `service.1`, `service.2`; callers ask for `service`. */
+/** Service name of a replica: callers request `service` of `service.1` and `service.2`. */
 export function serviceOf(upstream: string): string {
   return upstream.replace(/\.\d+$/, '')
 }
@@ -266,7 +268,7 @@
   return Buffer.concat(chunks).toString()
 }
 
-/** Requests under way by organisation, for shares of a crowded pool. */
+/** Requests in flight by pool and organisation, for fair sharing of a full pool. */
 export class PoolUses {
   readonly #uses = new Map<string, Map<string, PoolUse>>()
 
