--- a/packages/box/src/operators/handleOperator.ts
+++ b/packages/box/src/operators/handleOperator.ts
@@ -23,7 +23,7 @@
 import type { BoxServices } from '../types/context.js'
 import type { CallerRequest, Responder } from '../types/ports.js'
 
-/** A question of an operator. */
+/** A parsed request of an operator. */
 interface OperatorRequest {
   box: Box
   operator: string
@@ -38,7 +38,7 @@
 
 type OperatorHandler = (request: OperatorRequest) => Promise<OperatorAnswer> | OperatorAnswer
 
-/** The operators' interface. Its keys are not the callers'. */
+/** Routes of the operator API, which has its own keys. */
 const ROUTES: Record<string, OperatorHandler> = {
   'GET /table': ({ box }) => ok(tableOf(box.services)),
   'POST /table/changes': submitChange,
@@ -60,7 +60,7 @@
   pending: 202,
 }
 
-/** Handles requests of operators. */
+/** Creates the handler of operators' requests. */
 export function createOperatorHandler(box: Box) {
   const { operatorKeys } = box.services.settings
   const keys = new CallerKeys(operatorKeys.map(({ name, key }) => ({ name, keys: [key] })))
@@ -89,7 +89,7 @@
   return { status: 200, body }
 }
 
-function fault(message: string): OperatorAnswer {
+function invalidInput(message: string): OperatorAnswer {
   return { status: 422, body: { outcome: 'refused', message } }
 }
 
@@ -110,21 +110,24 @@
 }
 
 /**
- * Takes a change: `rows` as the whole table that is wanted, or `upserts` and `removals`. With `dryRun` it only
- * says what would change.
+ * Proposes a change of the table, given as the complete wanted table (`rows`) or as `upserts` and
+ * `removals`. With `dryRun`, only returns the difference.
  */
 async function submitChange({ box, operator, body }: OperatorRequest): Promise<OperatorAnswer> {
   const { table } = box.services
   const { changeId, baseRevision, dryRun } = body
   if (typeof changeId !== 'string' || !/^[\w.-]{1,100}$/.test(changeId)) {
-    return fault('changeId: give a unique id of letters, digits, ".", "_" and "-"')
+    return invalidInput('changeId: give a unique id of letters, digits, ".", "_" and "-"')
   }
   if (!Number.isInteger(baseRevision))
-    return fault('baseRevision: give the revision that you looked at')
-  const given = (body.rows ?? body.upserts ?? []) as unknown
-  if (!Array.isArray(given)) return fault('rows: give a list of rows')
+    return invalidInput('baseRevision: give the revision that you looked at')
+  const proposed = (body.rows ?? body.upserts ?? []) as unknown
+  if (!Array.isArray(proposed)) return invalidInput('rows: give a list of rows')
   const checked = validateRows(
-    given.map((fields, index) => ({ line: index + 1, fields: fields as Record<string, unknown> })),
+    proposed.map((fields, index) => ({
+      line: index + 1,
+      fields: fields as Record<string, unknown>,
+    })),
   )
   if (checked.isErr) return { status: 422, body: { outcome: 'refused', issues: checked.error } }
   const difference = body.rows
@@ -144,7 +147,7 @@
 
 async function findChange({ box, url }: OperatorRequest): Promise<OperatorAnswer> {
   const changeId = url.searchParams.get('changeId')
-  if (!changeId) return fault('changeId: give the id of the change')
+  if (!changeId) return invalidInput('changeId: give the id of the change')
   const outcome = await box.services.table.findChange(changeId)
   return { status: CHANGE_STATUS[outcome.outcome], body: { changeId, ...outcome } }
 }
@@ -156,11 +159,11 @@
   const from = Math.max(0, table.state.table.revision - HISTORY_LENGTH)
   const store = box.services.table.store
   const answer = await store.list(TABLE_KEYS.changePrefix, { after: TABLE_KEYS.change(from) })
-  if (answer.outcome !== 'read') return storeOut()
+  if (answer.outcome !== 'read') return storeUnavailable()
   return ok({ changes: answer.rows.map(row => JSON.parse(row.value) as AcceptedChange) })
 }
 
-function storeOut(): OperatorAnswer {
+function storeUnavailable(): OperatorAnswer {
   return {
     status: 503,
     body: { outcome: 'refused', message: 'the store does not answer; ask again later' },
@@ -224,7 +227,7 @@
   const { services } = box
   const day = url.searchParams.get('day') ?? dayOf(services.clock.wallTime())
   const answer = await services.table.store.list(`spend/${day}/`)
-  if (answer.outcome !== 'read') return storeOut()
+  if (answer.outcome !== 'read') return storeUnavailable()
   const organisations = answer.rows.map(row => ({
     organisation: row.key.split('/').at(-1),
     drawn: (JSON.parse(row.value) as SpendRow).drawn / MILLIONTHS,
@@ -241,14 +244,15 @@
   return ok({ day, organisations, billed: Object.fromEntries(billed) })
 }
 
-/** Says where a request would go and why, by the functions that decide it. */
+/** Explains where a request would be routed, with the same functions that route requests. */
 function explain(services: BoxServices, body: Record<string, unknown>): OperatorAnswer {
   const { organisation, kind = 'other', model = 'auto' } = body as Record<string, string>
-  if (typeof organisation !== 'string') return fault('organisation: name the organisation')
+  if (typeof organisation !== 'string') return invalidInput('organisation: name the organisation')
   const rights = services.table.rights()[0]!
   const limit = rights.limitOf(organisation)
   const stages = model === 'auto' ? rights.stagesOf(organisation, kind) : [model]
-  if (!stages) return fault(`there is no cascade row for kind "${kind}"; name a model or add a row`)
+  if (!stages)
+    return invalidInput(`there is no cascade row for kind "${kind}"; name a model or add a row`)
   return ok({
     organisation,
     kind,
@@ -287,20 +291,20 @@
 
 async function setHalt({ box, body, operator }: OperatorRequest): Promise<OperatorAnswer> {
   const { version } = body
-  if (typeof version !== 'string') return fault('version: give model@version')
+  if (typeof version !== 'string') return invalidInput('version: give model@version')
   return ok(await box.services.exposure.halt(version, `halted by ${operator}`))
 }
 
 async function liftHalt({ box, body, operator }: OperatorRequest): Promise<OperatorAnswer> {
   const { version } = body
-  if (typeof version !== 'string') return fault('version: give model@version')
+  if (typeof version !== 'string') return invalidInput('version: give model@version')
   const lifted = await box.services.exposure.lift(version, operator)
-  if (lifted === false) return storeOut()
-  return lifted ? ok(lifted) : fault(`${version} is not halted`)
+  if (lifted === false) return storeUnavailable()
+  return lifted ? ok(lifted) : invalidInput(`${version} is not halted`)
 }
 
 async function setPlacement({ box, body }: OperatorRequest): Promise<OperatorAnswer> {
-  if (typeof body.paused !== 'boolean') return fault('paused: give true or false')
-  const taken = await box.placement.setPaused(body.paused)
-  return taken ? ok({ paused: body.paused }) : storeOut()
+  if (typeof body.paused !== 'boolean') return invalidInput('paused: give true or false')
+  const isStored = await box.placement.setPaused(body.paused)
+  return isStored ? ok({ paused: body.paused }) : storeUnavailable()
 }
--- a/packages/box/src/requests/answerCompletion.ts
+++ b/packages/box/src/requests/answerCompletion.ts
@@ -2,20 +2,20 @@
 import { Result } from 'true-myth'
 import type { RequestContext } from '../types/context.js'
 import { answerRefusal } from './answerRefusal.js'
-import { BillKeeper } from './billKeeper.js'
+import { RequestBill } from './billKeeper.js'
 import type { CompletionTask } from './completionTask.js'
-import { answerJudged, judgeStage, type JudgedAnswer } from './judgeStage.js'
+import { answerScored, scoreStage, type ScoredAnswer } from './judgeStage.js'
 import { parseCompletion, type Completion } from './parseCompletion.js'
 import { relayCompletion } from './relayCompletion.js'
 import { resolveSession } from './resolveSession.js'
-import { withTrueVerdict } from './sendToUpstream.js'
+import { withRequestVerdict } from './sendToUpstream.js'
 
-/** The model name that leaves the choice to the cascade of the request's kind. */
-const AUTO = 'auto'
-const USUAL_ANSWER_TOKENS = 256
-const USUAL_TOKEN_MILLISECONDS = 30
+/** Model name that selects the cascade configured for the request's kind. */
+const AUTO_MODEL = 'auto'
+const TYPICAL_ANSWER_TOKENS = 256
+const TYPICAL_MILLISECONDS_PER_TOKEN = 30
 
-/** Answers a chat completion, plain or streaming, through one model or a cascade of them. */
+/** Answers a chat completion, buffered or streamed, with one model or a cascade of models. */
 export async function answerCompletion(context: RequestContext): Promise<void> {
   const { services, responder, request, id, organisation, limit } = context
   const refuse = (refusal: Refusal) => answerRefusal(responder, refusal, id)
@@ -34,18 +34,21 @@
     context,
     completion,
     versions: session.value,
-    bill: new BillKeeper(context),
+    bill: new RequestBill(context),
     blocks: prefixBlocks(organisation, completion.prompt),
     excluded: new Set(),
   }
   const refusal = await runStages(task, stages.value)
   services.allowances.settle(organisation, limit, reserved, task.bill.cost)
   if (!refusal) return
-  await task.bill.giveUp()
-  refuse(withTrueVerdict(context, refusal))
+  await task.bill.abandon()
+  refuse(withRequestVerdict(context, refusal))
 }
 
-/** Runs stages until one has answered the caller. Gives a refusal when nothing has gone to the caller. */
+/**
+ * Runs the stages of a cascade until one has answered the caller. Returns a refusal if nothing was
+ * sent to the caller.
+ */
 async function runStages(
   task: CompletionTask,
   models: readonly string[],
@@ -56,33 +59,33 @@
     context.organisation,
     completion.kind,
     models.map(model => stageCosts(task, model)),
-    mayWaitForJudging(context, completion),
+    mayBufferAnswer(context, completion),
   )
   task.promised = choice.promised
-  let kept: JudgedAnswer | undefined
+  let fallback: ScoredAnswer | undefined
   for (let stage = choice.start; stage < models.length; stage++) {
     const version = task.versions.versionOf(models[stage]!)
     const isLast = stage === models.length - 1
     if (version.isOk && !isLast && choice.isJudged(stage)) {
-      const judged = await judgeStage(task, version.value)
-      if (judged && choice.accepts(stage, judged.confidence)) return answerJudged(task, judged)
-      kept = judged ?? kept
+      const scored = await scoreStage(task, version.value)
+      if (scored && choice.accepts(stage, scored.confidence)) return answerScored(task, scored)
+      fallback = scored ?? fallback
       continue
     }
     const refusal = version.isOk ? await relayCompletion(task, version.value) : version.error
-    // A doubtful answer is better than none when the next stage cannot be had.
-    return refusal && kept ? answerJudged(task, kept) : refusal
+    // A low-confidence answer is better than a refusal when a later stage is unavailable.
+    return refusal && fallback ? answerScored(task, fallback) : refusal
   }
   return refuseNotRun('not-allowed', 'the cascade has no stage')
 }
 
-/** The models that may answer, the cheapest first. */
+/** Models that may answer, cheapest first. */
 function resolveStages(
   context: RequestContext,
   { body, kind }: Completion,
 ): Result<readonly string[], Refusal> {
   const [rights] = context.rights
-  if (body.model !== AUTO) return Result.ok([body.model])
+  if (body.model !== AUTO_MODEL) return Result.ok([body.model])
   const stages = rights?.stagesOf(context.organisation, kind)
   if (stages) return Result.ok(stages)
   return Result.err(
@@ -93,8 +96,8 @@
   )
 }
 
-/** Streams of organisations that weigh latency most are not held back. */
-function mayWaitForJudging({ limit }: RequestContext, { body }: Completion): boolean {
+/** Streams of organisations that weigh latency most are not buffered for scoring. */
+function mayBufferAnswer({ limit }: RequestContext, { body }: Completion): boolean {
   return !(body.stream && limit.weighs === 'latency')
 }
 
@@ -102,22 +105,22 @@
   const { context, completion } = task
   const rows = context.rights[0]?.versionsOf(context.organisation, model) ?? []
   const version = { model, version: rows[0]?.version ?? '*' }
-  const completionTokens = Math.min(USUAL_ANSWER_TOKENS, completion.largestAnswer)
+  const completionTokens = Math.min(TYPICAL_ANSWER_TOKENS, completion.maxAnswerTokens)
   const usage = { promptTokens: completion.promptTokens, completionTokens }
   return {
     model,
     cost: costOf(context.rights[0]!.priceOf(version), usage),
-    wholeAnswerMilliseconds: completionTokens * USUAL_TOKEN_MILLISECONDS,
+    wholeAnswerMilliseconds: completionTokens * TYPICAL_MILLISECONDS_PER_TOKEN,
   }
 }
 
-/** The most that a request may cost: every stage asked, every answer as long as it may be. */
+/** Maximum cost of a request: every stage runs and every answer has its maximum length. */
 function reservationFor(
   context: RequestContext,
-  { promptTokens, largestAnswer }: Completion,
+  { promptTokens, maxAnswerTokens }: Completion,
   models: readonly string[],
 ): number {
-  const usage = { promptTokens, completionTokens: largestAnswer }
+  const usage = { promptTokens, completionTokens: maxAnswerTokens }
   const [rights] = context.rights
   return models.reduce((sum, model) => {
     const rows = rights!.versionsOf(context.organisation, model)
--- a/packages/box/src/requests/answerRefusal.ts
+++ b/packages/box/src/requests/answerRefusal.ts
@@ -1,7 +1,7 @@
 import { STATUS_OF_REASON, type Refusal } from '@yewkeel/decisions'
 import type { Responder } from '../types/ports.js'
 
-/** The error body that clients of the chat completions interface expect, with the verdict. */
+/** Error body in the format of the chat completions API, with the verdict added. */
 export function refusalBody(refusal: Refusal): string {
   const { message, reason, verdict, retryAfter } = refusal
   return JSON.stringify({
@@ -16,7 +16,7 @@
   })
 }
 
-/** Answers with a refusal before anything else was sent. */
+/** Responds with a refusal. Nothing may have been sent to the caller before. */
 export function answerRefusal(responder: Responder, refusal: Refusal, requestId: string): void {
   responder.start(STATUS_OF_REASON[refusal.reason], {
     'content-type': 'application/json',
@@ -29,7 +29,7 @@
   responder.end(refusalBody(refusal))
 }
 
-/** Ends a stream that has begun and cannot be finished. */
+/** Sends an error event and ends a stream that cannot be completed. */
 export function endStreamWithRefusal(responder: Responder, refusal: Refusal): void {
   responder.end(`event: error\ndata: ${refusalBody(refusal)}\n\n`)
 }
--- a/packages/box/src/requests/billKeeper.ts
+++ b/packages/box/src/requests/billKeeper.ts
@@ -9,11 +9,11 @@
 } from '@yewkeel/decisions'
 import type { RequestContext } from '../types/context.js'
 
-/** Keeps the bill of one request from its first try to its end. */
-export class BillKeeper {
+/** The bill of one request, from its first attempt to the end of its answer. */
+export class RequestBill {
   readonly #bill: Bill
   #isOpen = false
-  #protected: Promise<void> = Promise.resolve()
+  #openDurable: Promise<void> = Promise.resolve()
   #closed: Promise<void> | undefined
 
   constructor(private readonly context: RequestContext) {
@@ -26,19 +26,22 @@
     }
   }
 
-  /** Opens the bill, or notes that another upstream now works on the request. */
+  /** Opens the bill, or updates its upstream and stream for a further attempt. */
   open(upstream: string, streamId: string): void {
     this.#bill.stream = { upstream, id: streamId }
     this.#isOpen = true
-    this.#protected = this.context.services.bills.open(this.#snapshot())
+    this.#openDurable = this.context.services.bills.open(this.#snapshot())
   }
 
-  /** Resolves when the open bill survives the loss of this box. Until then nothing goes to the caller. */
-  whenOpenIsSafe(): Promise<void> {
-    return this.#protected
+  /**
+   * Resolves when the open bill is stored so that it survives the loss of this box. Nothing may be
+   * sent to the caller before.
+   */
+  whenOpenIsDurable(): Promise<void> {
+    return this.#openDurable
   }
 
-  /** Adds what one use of an upstream cost. */
+  /** Adds a line with the cost of one upstream call. */
   addLine(version: ModelVersion, upstream: string, usage: Usage): void {
     const price = this.context.rights[0]!.priceOf(version)
     this.#bill.lines.push({ ...version, upstream, usage, cost: costOf(price, usage) })
@@ -48,7 +51,10 @@
     return billCost(this.#bill)
   }
 
-  /** Closes the bill. Resolves when it survives the loss of this box; the end of the answer waits for that. */
+  /**
+   * Closes the bill; later calls return the first result. Resolves when the closed bill survives
+   * the loss of this box. The end of the answer may not be sent before.
+   */
   close(outcome: BillOutcome): Promise<void> {
     if (this.#closed) return this.#closed
     const { services, span } = this.context
@@ -61,8 +67,8 @@
     return this.#closed
   }
 
-  /** The request did not run after all. What ran before, in an earlier stage of a cascade, is billed. */
-  async giveUp(): Promise<void> {
+  /** Voids the bill of a request that did not run. Closes it if earlier cascade stages have run. */
+  async abandon(): Promise<void> {
     if (!this.#isOpen) return
     if (this.#bill.lines.length > 0) await this.close('cut-off')
     else this.context.services.bills.void(this.#bill.requestId)
--- a/packages/box/src/requests/callService.ts
+++ b/packages/box/src/requests/callService.ts
@@ -4,11 +4,11 @@
 import type { HeldClaim } from '../tasks/claimTask.js'
 import { readText } from '../tasks/upstreamTask.js'
 import { answerRefusal } from './answerRefusal.js'
-import { BillKeeper } from './billKeeper.js'
+import { RequestBill } from './billKeeper.js'
 import { refuseStaleTable } from './filters.js'
 import {
   sendToUpstream,
-  withTrueVerdict,
+  withRequestVerdict,
   type OpenAnswer,
   type SendOptions,
 } from './sendToUpstream.js'
@@ -17,20 +17,20 @@
 const KEY_HEADER = 'idempotency-key'
 const ATTEMPT_HEADER = 'yewkeel-attempt'
 const FIRST_ATTEMPT = '1'
-const LARGEST_KEY = 200
+const MAX_KEY_LENGTH = 200
 
-/** Methods that HTTP says may be repeated; all others run at most once. */
-const REPEATABLE_METHODS = new Set(['GET', 'HEAD', 'OPTIONS'])
+/** Safe methods of HTTP, which may be retried. Calls with any other method run at most once. */
+const SAFE_METHODS = new Set(['GET', 'HEAD', 'OPTIONS'])
 
-/** A call on its way. */
+/** A call in flight. */
 interface ServiceCall {
   context: RequestContext
   service: string
   path: string
-  bill: BillKeeper
+  bill: RequestBill
 }
 
-/** Passes a call on to a plain service: at most once, unless its method may be repeated. */
+/** Forwards a call to a plain service, at most once unless its method is safe. */
 export async function callService(context: RequestContext): Promise<void> {
   const { request, organisation, rights, responder, id } = context
   const [service = '', ...rest] = request.path.slice(SERVICE_PATH.length).split('/')
@@ -38,51 +38,58 @@
   if (!isAllowed) {
     const message = `the organisation may not call a service "${service}"`
     const refusal = refuseNotRun('not-allowed', message)
-    return answerRefusal(responder, withVerdictFor(context, refusal), id)
+    return answerRefusal(responder, withVerdictBeforeClaim(context, refusal), id)
   }
   const path = `/${rest.join('/')}`
-  if (!REPEATABLE_METHODS.has(request.method)) return callOnce(context, service, path)
-  const call: ServiceCall = { context, service, path, bill: new BillKeeper(context) }
+  if (!SAFE_METHODS.has(request.method)) return callAtMostOnce(context, service, path)
+  const call: ServiceCall = { context, service, path, bill: new RequestBill(context) }
   const sent = await sendToUpstream(context, sendOptionsFor(call, true))
   if (sent.isErr) return refuseCall(call, sent.error)
-  await passOn(call, sent.value)
+  await forwardAnswer(call, sent.value)
 }
 
-async function callOnce(context: RequestContext, service: string, path: string): Promise<void> {
+async function callAtMostOnce(
+  context: RequestContext,
+  service: string,
+  path: string,
+): Promise<void> {
   const { request, services, organisation, responder } = context
   const key = request.headers[KEY_HEADER]
-  if (!key || key.length > LARGEST_KEY) {
-    const message = `a ${request.method} call runs at most once: send an "Idempotency-Key" of up to ${LARGEST_KEY} characters`
+  if (!key || key.length > MAX_KEY_LENGTH) {
+    const message = `a ${request.method} call runs at most once: send an "Idempotency-Key" of up to ${MAX_KEY_LENGTH} characters`
     return answerRefusal(responder, refuseNotRun('bad-request', message), context.id)
   }
-  const own = { attempt: context.id, digest: digestOf(request.method, service, path, request.body) }
+  const claimant = {
+    attempt: context.id,
+    digest: digestOf(request.method, service, path, request.body),
+  }
   const claimed = await services.claims.claim(
     organisation,
     `${service}/${key}`,
-    own,
+    claimant,
     isFirstAttempt(context),
   )
   if (claimed.isErr) return answerRefusal(responder, claimed.error, context.id)
   if ('replay' in claimed.value) return replay(context, claimed.value.replay, claimed.value.attempt)
-  await sendClaimed({ context, service, path, bill: new BillKeeper(context) }, claimed.value.held)
+  await sendClaimed({ context, service, path, bill: new RequestBill(context) }, claimed.value.held)
 }
 
-/** The caller says that it has not made this call before. */
+/** Whether the caller states that this is its first attempt at the call. */
 function isFirstAttempt({ request }: RequestContext): boolean {
   return request.headers[ATTEMPT_HEADER] === FIRST_ATTEMPT
 }
 
-/** A refusal before the claim of a call is known: an earlier attempt at the call may have run. */
-export function withVerdictFor(context: RequestContext, refusal: Refusal): Refusal {
+/** Adjusts a refusal made before the claim of a call was read: an earlier attempt may have run. */
+export function withVerdictBeforeClaim(context: RequestContext, refusal: Refusal): Refusal {
   const { request } = context
   const isClaimed =
     request.path.startsWith(SERVICE_PATH) &&
-    !REPEATABLE_METHODS.has(request.method) &&
+    !SAFE_METHODS.has(request.method) &&
     request.headers[KEY_HEADER] !== undefined
   return isClaimed ? withoutClaimKnown(refusal, isFirstAttempt(context)) : refusal
 }
 
-/** Sends the call once. The caller may hang up meanwhile; the claim is settled all the same. */
+/** Sends a claimed call once and settles its claim, even if the caller disconnects meanwhile. */
 async function sendClaimed(call: ServiceCall, held: HeldClaim): Promise<void> {
   const { context } = call
   const { claims } = context.services
@@ -91,7 +98,7 @@
     if (sent.error.verdict === 'not-run') claims.settle(held, 'not-run')
     return refuseCall(call, sent.error)
   }
-  const answer = await passOn(call, sent.value)
+  const answer = await forwardAnswer(call, sent.value)
   if (answer) claims.settle(held, 'ran', answer)
 }
 
@@ -120,12 +127,12 @@
       headers: forwardedHeaders(request.headers, streamId),
       ...(request.body && { body: request.body }),
     }),
-    checkBefore: () => checkBefore(context, service),
+    checkBeforeSend: () => checkBeforeSend(context, service),
     onChosen: (view, streamId) => bill.open(view.id, streamId),
   }
 }
 
-function checkBefore(context: RequestContext, service: string): Refusal | undefined {
+function checkBeforeSend(context: RequestContext, service: string): Refusal | undefined {
   const stale = refuseStaleTable(context)
   if (stale) return stale
   const rights = context.services.table.rights()
@@ -133,20 +140,20 @@
   return refuseNotRun('not-allowed', `the organisation may no longer call "${service}"`)
 }
 
-/** Only what the service needs goes on; the caller's key of this system does not. */
+/** Headers that the service needs, without the caller's credentials. */
 function forwardedHeaders(
   headers: Record<string, string | undefined>,
   streamId: string,
 ): Record<string, string> {
-  const passed: Record<string, string> = { 'x-request-id': streamId }
+  const forwarded: Record<string, string> = { 'x-request-id': streamId }
   for (const name of ['content-type', 'accept', KEY_HEADER]) {
     const value = headers[name]
-    if (value !== undefined) passed[name] = value
+    if (value !== undefined) forwarded[name] = value
   }
-  return passed
+  return forwarded
 }
 
-async function passOn(call: ServiceCall, open: OpenAnswer): Promise<KeptAnswer | undefined> {
+async function forwardAnswer(call: ServiceCall, open: OpenAnswer): Promise<KeptAnswer | undefined> {
   const { context, service, bill } = call
   let body: string
   try {
@@ -165,14 +172,14 @@
     promptTokens: 0,
     completionTokens: 0,
   })
-  await bill.whenOpenIsSafe()
+  await bill.whenOpenIsDurable()
   await bill.close('answered')
   const contentType = open.answer.headers['content-type'] ?? 'application/octet-stream'
   answerWith(context, open.answer.status, contentType, body, { 'yewkeel-upstream': open.view.id })
   return { status: open.answer.status, contentType, body: Buffer.from(body).toString('base64') }
 }
 
-/** The answer of the attempt that ran, under that attempt's request id. */
+/** Responds with the stored answer of the attempt that ran, under that attempt's request id. */
 function replay(context: RequestContext, answer: KeptAnswer, attempt: string): void {
   const body = Buffer.from(answer.body, 'base64').toString()
   answerWith(context, answer.status, answer.contentType, body, {
@@ -186,16 +193,16 @@
   status: number,
   contentType: string,
   body: string,
-  more: Record<string, string>,
+  extraHeaders: Record<string, string>,
 ): void {
-  responder.start(status, { 'content-type': contentType, 'x-request-id': id, ...more })
+  responder.start(status, { 'content-type': contentType, 'x-request-id': id, ...extraHeaders })
   responder.end(body)
 }
 
-/** What may have run is billed; what did not run is not. */
-async function refuseCall({ context, bill }: ServiceCall, last: Refusal): Promise<void> {
-  const refusal = withTrueVerdict(context, last)
-  if (refusal.verdict === 'not-run') await bill.giveUp()
+/** Refuses a call. Its bill is closed if it may have run, and voided otherwise. */
+async function refuseCall({ context, bill }: ServiceCall, lastRefusal: Refusal): Promise<void> {
+  const refusal = withRequestVerdict(context, lastRefusal)
+  if (refusal.verdict === 'not-run') await bill.abandon()
   else await bill.close('cut-off')
   answerRefusal(context.responder, refusal, context.id)
 }
--- a/packages/box/src/requests/callerKeys.ts
+++ b/packages/box/src/requests/callerKeys.ts
@@ -1,6 +1,6 @@
 import { createHash, timingSafeEqual } from 'node:crypto'
 
-/** Who holds a key. */
+/** A named holder of keys. `keys` are SHA-256 hashes in hex, as of `hashKey`. */
 export interface KeyHolder {
   name: string
   keys: readonly string[]
@@ -11,13 +11,13 @@
   return createHash('sha256').update(key).digest('hex')
 }
 
-const CACHED_KEYS = 4_096
+const MAX_CACHED_KEYS = 4_096
 
-/** Finds who holds a key. Only hashes are kept, and they are compared in constant time. */
+/** Finds the holder of a key. Stores hashes only and compares them in constant time. */
 export class CallerKeys {
   readonly #holders: { name: string; hash: Buffer }[]
-  /** Holder by hash of the key as presented, to spare the walk over all holders. */
-  readonly #found = new Map<string, string>()
+  /** Cache of found holders by hash of the presented key. Avoids comparing with every holder. */
+  readonly #cache = new Map<string, string>()
 
   constructor(holders: readonly KeyHolder[]) {
     this.#holders = holders.flatMap(({ name, keys }) =>
@@ -25,15 +25,15 @@
     )
   }
 
-  /** The holder of the key in an `Authorization: Bearer` header. */
+  /** Returns the name of the holder of the key in an `Authorization: Bearer` header. */
   find(authorization: string | undefined): string | undefined {
     const key = /^Bearer (.+)$/i.exec(authorization ?? '')?.[1]
     if (!key) return undefined
     const hash = hashKey(key)
-    const known = this.#found.get(hash)
-    if (known) return known
+    const cached = this.#cache.get(hash)
+    if (cached) return cached
     const name = this.#search(Buffer.from(hash, 'hex'))
-    if (name && this.#found.size < CACHED_KEYS) this.#found.set(hash, name)
+    if (name && this.#cache.size < MAX_CACHED_KEYS) this.#cache.set(hash, name)
     return name
   }
 
--- a/packages/box/src/requests/completionTask.ts
+++ b/packages/box/src/requests/completionTask.ts
@@ -6,28 +6,30 @@
 } from '@yewkeel/decisions'
 import type { RequestContext, SendPlan } from '../types/context.js'
 import type { UpstreamRequest } from '../types/ports.js'
-import type { BillKeeper } from './billKeeper.js'
+import type { RequestBill } from './billKeeper.js'
 import { refuseStaleTable } from './filters.js'
 import type { Completion } from './parseCompletion.js'
 import { checkVersion, type SessionVersions } from './resolveSession.js'
 import type { SendOptions } from './sendToUpstream.js'
 
+/** Priorities of the engines' interface: lower numbers are scheduled first. */
 const PRIORITY_NUMBERS = { high: 0, normal: 5, low: 10 }
 
-/** A completion on its way through its stages. */
+/** State of a completion while its stages run. */
 export interface CompletionTask {
   context: RequestContext
   completion: Completion
   versions: SessionVersions
-  bill: BillKeeper
-  /** Prefix blocks of the prompt, in which cache look-ups are made. */
+  bill: RequestBill
+  /** Hashes of the prompt's prefix blocks, for look-ups in the prefix cache index. */
   blocks: number[]
+  /** Ids of upstreams that failed this request. */
   excluded: Set<string>
-  /** What the plan of the cascade promises, once it is made. */
+  /** Probability of a good answer that the cascade's plan expects. Set once the plan is made. */
   promised?: number
 }
 
-/** How a completion is sent to an engine. `extra` overrides fields of the caller's body. */
+/** Options for sending a completion to an engine. `extra` overrides fields of the caller's body. */
 export function sendOptionsFor(
   task: CompletionTask,
   version: ModelVersion,
@@ -58,7 +60,7 @@
     affine: [...cached.keys()].flatMap(id => services.upstreams.views.get(id) ?? []),
     excluded,
     buildRequest: (_view, streamId) => buildRequest(task, served, streamId, extra),
-    checkBefore: () => checkBefore(context, version),
+    checkBeforeSend: () => checkBeforeSend(context, version),
     onChosen(view, streamId) {
       bill.open(view.id, streamId)
       services.upstreams.prefixes.note(blocks, view.id)
@@ -66,8 +68,8 @@
   }
 }
 
-/** A paused box wakes here: the table is looked at again before each try. */
-function checkBefore(context: RequestContext, version: ModelVersion): Refusal | undefined {
+/** Checks the current table before each attempt, as the box may have been paused meanwhile. */
+function checkBeforeSend(context: RequestContext, version: ModelVersion): Refusal | undefined {
   const stale = refuseStaleTable(context)
   if (stale) return stale
   const rights = context.services.table.rights()
@@ -80,7 +82,7 @@
   streamId: string,
   extra: Record<string, unknown>,
 ): UpstreamRequest {
-  const { body, kind, largestAnswer } = completion
+  const { body, kind, maxAnswerTokens } = completion
   return {
     method: 'POST',
     path: '/v1/chat/completions',
@@ -88,7 +90,7 @@
     body: JSON.stringify({
       ...body,
       model: served,
-      max_tokens: largestAnswer,
+      max_tokens: maxAnswerTokens,
       priority: PRIORITY_NUMBERS[context.limit.priority],
       metadata: { ...body.metadata, kind },
       ...(body.stream && { stream_options: { include_usage: true } }),
--- a/packages/box/src/requests/eventStream.ts
+++ b/packages/box/src/requests/eventStream.ts
@@ -1,35 +1,35 @@
-/** Reading of a streamed answer with as little parsing as its promises need. */
+/** Reads server-sent event streams as bytes, without parsing the events that pass through. */
 import type { Usage } from '@yewkeel/decisions'
 import type { TakeOutcome, UpstreamAnswer } from '../types/ports.js'
 
 const EVENT_END = Buffer.from('\n\n')
 const DONE = Buffer.from('data: [DONE]')
 const USAGE = Buffer.from('"usage":{')
-const LAST_ID = Buffer.from('\nid: ')
+const ID_FIELD = Buffer.from('\nid: ')
 
-/** Cuts a byte stream into pieces of whole events. A piece may hold many. */
+/** Splits a byte stream into pieces of one or more complete events. */
 export class EventSplitter {
-  #rest: Buffer | undefined
+  #remainder: Buffer | undefined
 
-  /** Bytes of an event that is not whole yet. */
+  /** Whether bytes of an incomplete event are buffered. */
   get hasRest(): boolean {
-    return this.#rest !== undefined
+    return this.#remainder !== undefined
   }
 
-  /** The whole events that a chunk completes, if it completes any. */
+  /** Returns the events that the chunk completes, or undefined if it completes none. */
   push(chunk: Uint8Array): Buffer | undefined {
-    const bytes = this.#rest ? Buffer.concat([this.#rest, chunk]) : toBuffer(chunk)
+    const bytes = this.#remainder ? Buffer.concat([this.#remainder, chunk]) : toBuffer(chunk)
     const cut = bytes.lastIndexOf(EVENT_END) + EVENT_END.length
     if (cut < EVENT_END.length) {
-      this.#rest = bytes
+      this.#remainder = bytes
       return undefined
     }
-    this.#rest = cut < bytes.length ? bytes.subarray(cut) : undefined
+    this.#remainder = cut < bytes.length ? bytes.subarray(cut) : undefined
     return bytes.subarray(0, cut)
   }
 }
 
-/** The pieces of a body. Bytes after the last whole event are dropped. */
+/** Yields the complete events of a body in pieces. Drops bytes after the last complete event. */
 export async function* wholeEvents(body: AsyncIterable<Uint8Array>): AsyncIterable<Buffer> {
   const splitter = new EventSplitter()
   for await (const chunk of body) {
@@ -38,7 +38,7 @@
   }
 }
 
-/** Hands on the pieces of an answer's body, the fastest way that its client offers. */
+/** Calls `take` for each piece of an answer's body, through `pump` where the client offers it. */
 export async function forEachPiece(
   answer: Pick<UpstreamAnswer, 'body' | 'pump'>,
   take: (piece: Buffer) => TakeOutcome,
@@ -62,32 +62,35 @@
   }
 }
 
-/** The model that an answer says it comes from, read from its first bytes. */
+/** The `model` field of an answer, read from its first 1,024 bytes. */
 export function modelOf(bytes: Uint8Array | string): string | undefined {
   const text = typeof bytes === 'string' ? bytes : toBuffer(bytes).toString('latin1', 0, 1_024)
   return /"model"\s*:\s*"([^"]*)"/.exec(text)?.[1]
 }
 
-/** The id of the last event in a piece; events without an id give undefined. */
+/** The id of the last event in a piece that has one, or undefined if none has. */
 export function lastEventId(piece: Buffer): number | undefined {
-  const at = piece.lastIndexOf(LAST_ID)
+  const at = piece.lastIndexOf(ID_FIELD)
   const start =
-    at === -1 ? (piece.toString('latin1', 0, 4) === 'id: ' ? 4 : -1) : at + LAST_ID.length
+    at === -1 ? (piece.toString('latin1', 0, 4) === 'id: ' ? 4 : -1) : at + ID_FIELD.length
   if (start === -1) return undefined
   const id = Number.parseInt(piece.toString('latin1', start, start + 12), 10)
   return Number.isNaN(id) ? undefined : id
 }
 
-/** The end of a stream, held back until its bill is safe. */
+/** The end of a stream, which is held back until the closed bill is durable. */
 export interface StreamEnd {
-  /** Events before the end that go out at once. */
+  /** Events before the end, which may be sent at once. */
   before: Buffer
   usage?: Usage
-  /** The end itself. */
+  /** The `[DONE]` event and anything after it. */
   end: Buffer
 }
 
-/** Finds the end of the stream in a piece. `keepUsage`: whether the caller asked for an event with the usage. */
+/**
+ * Splits a piece at the end of its stream, or returns undefined if the stream does not end in it.
+ * `keepUsage`: whether the caller asked for the usage event, which is removed otherwise.
+ */
 export function splitEnd(piece: Buffer, keepUsage: boolean): StreamEnd | undefined {
   const at = piece.lastIndexOf(DONE)
   if (at === -1) return undefined
@@ -96,12 +99,12 @@
   const usage = readUsage(piece.toString('utf8', usageAt, at))
   const eventAt = startOfEvent(piece, usageAt)
   const event = piece.toString('utf8', eventAt, at)
-  const isUsageAlone = /"choices"\s*:\s*\[\s*\]/.test(event)
-  const before = piece.subarray(0, isUsageAlone && !keepUsage ? eventAt : at)
+  const isUsageEvent = /"choices"\s*:\s*\[\s*\]/.test(event)
+  const before = piece.subarray(0, isUsageEvent && !keepUsage ? eventAt : at)
   return { before, end: piece.subarray(at), ...(usage && { usage }) }
 }
 
-/** Token counts in a piece of JSON that has a `usage` object. */
+/** Reads the token counts of the `usage` object in JSON text. */
 export function readUsage(text: string): Usage | undefined {
   const promptTokens = numberAfter(text, 'prompt_tokens')
   const completionTokens = numberAfter(text, 'completion_tokens')
@@ -109,7 +112,7 @@
   return { promptTokens, completionTokens }
 }
 
-/** The usage in a piece that is not the end of its stream. */
+/** Reads the token counts in a piece that does not end its stream. */
 export function usageIn(piece: Buffer): Usage | undefined {
   const at = piece.lastIndexOf(USAGE)
   return at === -1 ? undefined : readUsage(piece.toString('utf8', at))
@@ -120,8 +123,8 @@
   return found === undefined ? undefined : Number(found)
 }
 
-function startOfEvent(piece: Buffer, inside: number): number {
-  const end = piece.lastIndexOf(EVENT_END, inside)
+function startOfEvent(piece: Buffer, index: number): number {
+  const end = piece.lastIndexOf(EVENT_END, index)
   return end === -1 ? 0 : end + EVENT_END.length
 }
 
--- a/packages/box/src/requests/filters.ts
+++ b/packages/box/src/requests/filters.ts
@@ -2,24 +2,25 @@
 import type { RequestContext } from '../types/context.js'
 import { hashKey } from './callerKeys.js'
 
-/** A step before a request is answered. Gives a refusal, or lets the request on. */
+/** A check before a request is handled. Returns a refusal, or undefined to let the request pass. */
 export type Filter = (context: RequestContext) => Refusal | undefined
 
-const ASK_ELSEWHERE = 0
-const STALE_RETRY = 1_000
-const LEDGER_RETRY = 5_000
+/** Values of `Retry-After`, in milliseconds. */
+const RETRY_ELSEWHERE_DELAY = 0
+const RETRY_DELAY = 1_000
+const BILL_RETRY_DELAY = 5_000
 
-/** Every request goes through these, in this order. */
+/** Filters of every authenticated route, in this order. */
 export const REQUEST_FILTERS: readonly Filter[] = [
   identifyCaller,
-  refuseWhileLeaving,
+  refuseWhileDraining,
   requireTable,
   limitOpenRequests,
   requireRoomForBill,
   limitRate,
 ]
 
-/** Runs the filters until one refuses. */
+/** Runs the filters in order and returns the first refusal. */
 export function runFilters(
   context: RequestContext,
   filters: readonly Filter[] = REQUEST_FILTERS,
@@ -31,7 +32,7 @@
   return undefined
 }
 
-/** The bill of all attempts that share an idempotency key. */
+/** Id of the bill shared by all attempts with the same idempotency key. */
 export function resolveBillId(organisation: string, path: string, key: string): string {
   return `key.${hashKey(`${organisation}\n${path}\n${key}`).slice(0, 32)}`
 }
@@ -50,12 +51,12 @@
   return undefined
 }
 
-function refuseWhileLeaving({ services }: RequestContext): Refusal | undefined {
+function refuseWhileDraining({ services }: RequestContext): Refusal | undefined {
   if (services.takesNewRequests()) return undefined
   return refuseNotRun(
     'box-leaving',
     'this box is being stopped; use another of your addresses, or ask /v1/where for new ones',
-    ASK_ELSEWHERE,
+    RETRY_ELSEWHERE_DELAY,
   )
 }
 
@@ -67,28 +68,29 @@
   return undefined
 }
 
-/** Refuses while nobody can tell that this box's copy of the table is in force. */
+/** Refuses while this box cannot confirm that its replica of the table is current. */
 export function refuseStaleTable({ services }: RequestContext): Refusal | undefined {
   if (services.table.freshness() !== 'stale') return undefined
   return refuseNotRun(
     'table-stale',
     'this box cannot tell whether its copy of the table is in force; use another of your addresses',
-    STALE_RETRY,
+    RETRY_DELAY,
   )
 }
 
 function limitOpenRequests({ services }: RequestContext): Refusal | undefined {
   if (services.load() < 1) return undefined
-  return refuseNotRun('overloaded', 'this box has as many open requests as it takes', STALE_RETRY)
+  return refuseNotRun('overloaded', 'this box has as many open requests as it takes', RETRY_DELAY)
 }
 
 function requireRoomForBill({ services }: RequestContext): Refusal | undefined {
-  const isAlone = services.table.isStoreOut() && services.membership.livePeers().length === 0
-  if (services.bills.hasRoom && !isAlone) return undefined
+  const cannotReplicate =
+    services.table.isStoreOut() && services.membership.livePeers().length === 0
+  if (services.bills.hasRoom && !cannotReplicate) return undefined
   return refuseNotRun(
     'bills-unprotected',
     'the store does not take bills and no other box can hold them',
-    LEDGER_RETRY,
+    BILL_RETRY_DELAY,
   )
 }
 
@@ -98,6 +100,6 @@
   return refuseNotRun(
     'rate-limited',
     'the organisation is over its requests per second',
-    STALE_RETRY,
+    RETRY_DELAY,
   )
 }
--- a/packages/box/src/requests/handleRequest.ts
+++ b/packages/box/src/requests/handleRequest.ts
@@ -3,35 +3,35 @@
 import type { CallerRequest, Responder } from '../types/ports.js'
 import { answerCompletion } from './answerCompletion.js'
 import { answerRefusal } from './answerRefusal.js'
-import { callService, SERVICE_PATH, withVerdictFor } from './callService.js'
+import { callService, SERVICE_PATH, withVerdictBeforeClaim } from './callService.js'
 import { runFilters } from './filters.js'
 import { resumeStream, STREAM_PATH } from './resumeStream.js'
 
-type Answer = (context: RequestContext) => Promise<void> | void
+type RouteHandler = (context: RequestContext) => Promise<void> | void
 
 interface Route {
   matches(method: string, path: string): boolean
-  answer: Answer
+  handle: RouteHandler
 }
 
 const COMPLETIONS_PATH = '/v1/chat/completions'
 
-/** Routes that need a caller who is known, a table in force, and room. */
+/** Routes behind the request filters. */
 const ROUTES: readonly Route[] = [
   {
     matches: (method, path) => method === 'POST' && path === COMPLETIONS_PATH,
-    answer: answerCompletion,
+    handle: answerCompletion,
   },
-  { matches: (_method, path) => path.startsWith(SERVICE_PATH), answer: callService },
+  { matches: (_method, path) => path.startsWith(SERVICE_PATH), handle: callService },
   {
     matches: (method, path) => method === 'GET' && path.startsWith(STREAM_PATH),
-    answer: resumeStream,
+    handle: resumeStream,
   },
-  { matches: (method, path) => method === 'GET' && path === '/v1/models', answer: answerModels },
+  { matches: (method, path) => method === 'GET' && path === '/v1/models', handle: answerModels },
 ]
 
-/** Routes that are open to all, by path. */
-const OPEN_ROUTES: Record<
+/** Routes that need no key, by path. */
+const UNAUTHENTICATED_ROUTES: Record<
   string,
   (services: BoxServices, request: CallerRequest, responder: Responder) => void
 > = {
@@ -40,12 +40,12 @@
   '/ready': answerReady,
 }
 
-/** Handles requests of callers. `nextId` gives each its own id. */
+/** Creates the handler of callers' requests. `nextId` returns a unique id for each request. */
 export function createRequestHandler(services: BoxServices, nextId: () => string) {
   return async (request: CallerRequest, responder: Responder): Promise<void> => {
     const path = request.path.split('?')[0] ?? ''
-    const open = OPEN_ROUTES[path]
-    if (open) return open(services, request, responder)
+    const handle = UNAUTHENTICATED_ROUTES[path]
+    if (handle) return handle(services, request, responder)
     const context = createContext(services, request, responder, nextId())
     const route = ROUTES.find(route => route.matches(request.method, path))
     if (!route) {
@@ -55,8 +55,8 @@
     const refusal = runFilters(context)
     if (refusal) {
       services.metrics.count('requests.refused', 1, { reason: refusal.reason })
-      answerRefusal(responder, withVerdictFor(context, refusal), context.id)
-    } else await route.answer(context)
+      answerRefusal(responder, withVerdictBeforeClaim(context, refusal), context.id)
+    } else await route.handle(context)
     context.span.set({ organisation: context.organisation, 'request.id': context.id })
     context.span.end()
     services.metrics.timing('request', services.clock.now() - context.receivedAt)
@@ -90,7 +90,7 @@
   answerJson(responder, 200, { object: 'list', data }, id)
 }
 
-/** Where a caller is to connect. Callers of one address are spread over the boxes. */
+/** Responds with the addresses that a caller should connect to. Spreads callers over the boxes. */
 function answerWhere(services: BoxServices, request: CallerRequest, responder: Responder): void {
   const caller = request.headers['yewkeel-caller'] ?? request.headers.authorization ?? ''
   const dataCentre = request.headers['yewkeel-data-centre']
--- a/packages/box/src/requests/judgeStage.ts
+++ b/packages/box/src/requests/judgeStage.ts
@@ -2,10 +2,10 @@
 import { readText } from '../tasks/upstreamTask.js'
 import { sendOptionsFor, type CompletionTask } from './completionTask.js'
 import { readUsage } from './eventStream.js'
-import { answerHeaders, noteServed } from './relayCompletion.js'
+import { answerHeaders, recordServed } from './relayCompletion.js'
 import { sendToUpstream, type OpenAnswer } from './sendToUpstream.js'
 
-interface WholeAnswer {
+interface CompletionResponse {
   id: string
   model: string
   choices: {
@@ -15,27 +15,28 @@
   usage?: unknown
 }
 
-/** A whole answer that has not gone out yet. */
-export interface JudgedAnswer {
-  /** Mean probability of its tokens. */
+/** A complete answer that has not been sent to the caller. */
+export interface ScoredAnswer {
+  /** Mean probability of the answer's tokens, from 0 to 1. */
   confidence: number
+  /** Confidence bucket of the quality estimates. */
   bucket: number
   version: ModelVersion
   open: OpenAnswer
-  answer: WholeAnswer
+  answer: CompletionResponse
 }
 
-/** Asks a stage for a whole answer and judges it. Undefined when the stage cannot be had. */
-export async function judgeStage(
+/** Gets a complete answer from a stage and scores it. Returns undefined if the stage fails. */
+export async function scoreStage(
   task: CompletionTask,
   version: ModelVersion,
-): Promise<JudgedAnswer | undefined> {
+): Promise<ScoredAnswer | undefined> {
   const { context, bill, completion } = task
-  const wholeWithLogprobs = { stream: false, stream_options: undefined, logprobs: true }
-  const sent = await sendToUpstream(context, sendOptionsFor(task, version, wholeWithLogprobs))
+  const bufferedWithLogprobs = { stream: false, stream_options: undefined, logprobs: true }
+  const sent = await sendToUpstream(context, sendOptionsFor(task, version, bufferedWithLogprobs))
   if (sent.isErr) return undefined
   const open = sent.value
-  const text = await readWhole(open)
+  const text = await readComplete(open)
   const answer = text && parseAnswer(text)
   if (!answer) return undefined
   if (answer.model !== formatVersion(version)) {
@@ -48,7 +49,7 @@
   return { confidence, bucket, version, open, answer }
 }
 
-async function readWhole(open: OpenAnswer): Promise<string | undefined> {
+async function readComplete(open: OpenAnswer): Promise<string | undefined> {
   try {
     const text = await readText(open.answer.body)
     open.release('whole')
@@ -59,50 +60,50 @@
   }
 }
 
-function parseAnswer(text: string): WholeAnswer | undefined {
+function parseAnswer(text: string): CompletionResponse | undefined {
   try {
-    const answer = JSON.parse(text) as WholeAnswer
+    const answer = JSON.parse(text) as CompletionResponse
     return typeof answer.choices?.[0]?.message?.content === 'string' ? answer : undefined
   } catch {
     return undefined
   }
 }
 
-/** Mean probability of the answer's tokens, 0 when the engine gives none. */
-function confidenceOf(answer: WholeAnswer): number {
+/** Mean probability of the answer's tokens, or 0 if the engine returned no log probabilities. */
+function confidenceOf(answer: CompletionResponse): number {
   const tokens = answer.choices[0]?.logprobs?.content ?? []
   if (tokens.length === 0) return 0
   return tokens.reduce((sum, token) => sum + Math.exp(token.logprob), 0) / tokens.length
 }
 
-/** Lets a judged answer out, in the form that the caller asked for. */
-export async function answerJudged(
+/** Sends a scored answer to the caller, buffered or as a stream as requested. */
+export async function answerScored(
   task: CompletionTask,
-  { version, open, answer, bucket }: JudgedAnswer,
+  { version, open, answer, bucket }: ScoredAnswer,
 ): Promise<undefined> {
   const { context, bill, completion } = task
   const { responder } = context
   const isStream = completion.body.stream === true
-  const safe = bill.close('answered')
-  noteServed(task, version, open, bucket)
-  await safe
+  const durable = bill.close('answered')
+  recordServed(task, version, open, bucket)
+  await durable
   const contentType = isStream ? 'text/event-stream' : 'application/json'
   responder.start(200, answerHeaders(task, open, version, contentType))
-  responder.end(isStream ? asEvents(answer) : JSON.stringify(answer))
+  responder.end(isStream ? toEvents(answer) : JSON.stringify(answer))
   return undefined
 }
 
-/** A whole answer as the events of a stream. */
-function asEvents(answer: WholeAnswer): string {
+/** Converts a complete answer to the events of a stream. */
+function toEvents(answer: CompletionResponse): string {
   const { id, model, usage } = answer
   const message = answer.choices[0]!.message
-  const chunk = (choice: object, more: object = {}) =>
+  const chunk = (choice: object, extra: object = {}) =>
     JSON.stringify({
       id,
       object: 'chat.completion.chunk',
       model,
       choices: [{ index: 0, ...choice }],
-      ...more,
+      ...extra,
     })
   return [
     `id: 1\ndata: ${chunk({ delta: message })}\n\n`,
--- a/packages/box/src/requests/parseCompletion.ts
+++ b/packages/box/src/requests/parseCompletion.ts
@@ -6,7 +6,7 @@
   content: unknown
 }
 
-/** A chat completion as the caller wrote it. Fields that are not named here pass through. */
+/** The body of a chat completion request. Fields not listed here are passed through unchanged. */
 export interface CompletionBody {
   model: string
   messages: Message[]
@@ -18,23 +18,24 @@
   [other: string]: unknown
 }
 
-/** A completion request, checked. */
+/** A validated completion request. */
 export interface Completion {
   body: CompletionBody
   kind: string
   prompt: string
+  /** Estimated from the length of the prompt. */
   promptTokens: number
-  /** The most that the answer may have. */
-  largestAnswer: number
+  /** Upper bound of the answer, in tokens. */
+  maxAnswerTokens: number
 }
 
 const KIND_HEADER = 'yewkeel-kind'
 const DEFAULT_KIND = 'other'
-const DEFAULT_LARGEST_ANSWER = 4_096
-/** Fewer characters to a token than is usual, so that a reservation is rarely too small. */
+const DEFAULT_MAX_ANSWER_TOKENS = 4_096
+/** Below the typical ratio, so that estimates and spend reservations are rarely too low. */
 const CHARACTERS_PER_TOKEN = 3
 
-/** Checks the body of a completion request. */
+/** Parses and validates the body of a completion request. */
 export function parseCompletion(
   text: string,
   headers: Record<string, string | undefined>,
@@ -45,36 +46,38 @@
   } catch (error) {
     return refuse(`the body is not JSON: ${(error as Error).message}`)
   }
-  const fault = findFault(body)
-  if (fault) return refuse(fault)
+  const problem = validateBody(body)
+  if (problem) return refuse(problem)
   const prompt = body.messages.map(message => textOf(message.content)).join('\n')
   return Result.ok({
     body,
     prompt,
     kind: headers[KIND_HEADER] ?? body.metadata?.kind ?? DEFAULT_KIND,
     promptTokens: Math.ceil(prompt.length / CHARACTERS_PER_TOKEN) + body.messages.length * 4,
-    largestAnswer: body.max_completion_tokens ?? body.max_tokens ?? DEFAULT_LARGEST_ANSWER,
+    maxAnswerTokens: body.max_completion_tokens ?? body.max_tokens ?? DEFAULT_MAX_ANSWER_TOKENS,
   })
 }
 
-function findFault(body: unknown): string | undefined {
+/** Returns what is wrong with the body, or undefined if it is valid. */
+function validateBody(body: unknown): string | undefined {
   if (typeof body !== 'object' || body === null || Array.isArray(body)) {
     return 'the body must be a JSON object'
   }
-  const { model, messages, stream, max_tokens: largest } = body as Partial<CompletionBody>
+  const { model, messages, stream, max_tokens: maxTokens } = body as Partial<CompletionBody>
   if (typeof model !== 'string' || model === '') return 'model: give the name of a model, or "auto"'
   if (!Array.isArray(messages) || messages.length === 0)
     return 'messages: give at least one message'
-  const bad = messages.findIndex(
+  const invalidIndex = messages.findIndex(
     message => typeof message !== 'object' || message === null || typeof message.role !== 'string',
   )
-  if (bad !== -1) return `messages[${bad}]: give an object with a role and a content`
+  if (invalidIndex !== -1)
+    return `messages[${invalidIndex}]: give an object with a role and a content`
   if (stream !== undefined && typeof stream !== 'boolean') return 'stream: give true or false'
-  const isCount = largest === undefined || (Number.isInteger(largest) && largest > 0)
+  const isCount = maxTokens === undefined || (Number.isInteger(maxTokens) && maxTokens > 0)
   return isCount ? undefined : 'max_tokens: give a whole number above 0'
 }
 
-/** Text of a message's content, which may be a string or a list of parts. */
+/** Text of a message's content, which is a string or a list of parts. */
 function textOf(content: unknown): string {
   if (typeof content === 'string') return content
   if (!Array.isArray(content)) return ''
--- a/packages/box/src/requests/relayCompletion.ts
+++ b/packages/box/src/requests/relayCompletion.ts
@@ -13,31 +13,31 @@
 import { forEachPiece, lastEventId, modelOf, readUsage, splitEnd, usageIn } from './eventStream.js'
 import { sendToUpstream, type OpenAnswer } from './sendToUpstream.js'
 
-const RESUME_TRIES = 2
-const LARGEST_WRONG_ANSWERS = 3
+const MAX_RESUMES = 2
+const MAX_WRONG_VERSIONS = 3
 
-/** Passes an engine's answer on to the caller. Gives a refusal only when nothing has gone to the caller. */
+/** Relays an engine's answer to the caller. Returns a refusal only if nothing was sent yet. */
 export async function relayCompletion(
   task: CompletionTask,
   version: ModelVersion,
 ): Promise<Refusal | undefined> {
   const { context } = task
-  for (let tries = 0; tries < LARGEST_WRONG_ANSWERS; tries++) {
+  for (let attempts = 0; attempts < MAX_WRONG_VERSIONS; attempts++) {
     const sent = await sendToUpstream(context, sendOptionsFor(task, version, {}))
     if (sent.isErr) return sent.error
-    const relay = task.completion.body.stream ? relayStream : relayWhole
+    const relay = task.completion.body.stream ? relayStream : relayBuffered
     const outcome = await relay(task, version, sent.value)
     if (outcome !== 'wrong-version') return outcome
     context.services.upstreams.noteLie(sent.value.view, formatVersion(version))
     task.excluded.add(sent.value.view.id)
   }
-  return refuseUnproved(version)
+  return refuseWrongVersions(version)
 }
 
 type RelayOutcome = Refusal | undefined | 'wrong-version'
 
-/** Nothing of an answer goes out before it says which version it comes from. */
-async function relayWhole(
+/** Sends a buffered answer once its `model` field has been verified. */
+async function relayBuffered(
   task: CompletionTask,
   version: ModelVersion,
   open: OpenAnswer,
@@ -48,24 +48,24 @@
     text = await readText(open.answer.body)
   } catch (error) {
     open.release('broken')
-    return refuseCut(open, error)
+    return refuseInterrupted(open, error)
   }
   open.release('whole')
   if (open.answer.status >= 400) return relayClientError(context, open, text)
   if (modelOf(text) !== formatVersion(version)) return 'wrong-version'
-  await bill.whenOpenIsSafe()
+  await bill.whenOpenIsDurable()
   bill.addLine(version, open.view.id, readUsage(text) ?? NO_USAGE)
-  const safe = bill.close('answered')
-  noteServed(task, version, open)
+  const durable = bill.close('answered')
+  recordServed(task, version, open)
   context.responder.start(200, answerHeaders(task, open, version, 'application/json'))
-  await safe
+  await durable
   context.responder.end(text)
   return undefined
 }
 
 const NO_USAGE: Usage = { promptTokens: 0, completionTokens: 0 }
 
-/** What a stream has come to. */
+/** Progress of a relayed stream. */
 interface StreamProgress {
   started: boolean
   lastId: number
@@ -86,24 +86,24 @@
   }
   const progress: StreamProgress = { started: false, lastId: 0, ended: false, wrongVersion: false }
   let answer: UpstreamAnswer | undefined = open.answer
-  for (let tries = 0; answer; tries++) {
-    await pass(task, version, open, answer, progress)
+  for (let resumes = 0; answer; resumes++) {
+    await forwardEvents(task, version, open, answer, progress)
     if (progress.wrongVersion) {
       open.release('well')
       return 'wrong-version'
     }
     if (progress.ended) return undefined
     if (context.request.signal.aborted) return cancel(task, version, open)
-    answer = tries < RESUME_TRIES ? await resume(context, open, progress.lastId) : undefined
+    answer = resumes < MAX_RESUMES ? await resume(context, open, progress.lastId) : undefined
   }
   open.release('broken')
-  if (!progress.started) return refuseCut(open, 'the stream ended before it began')
-  await endCutOff(task, version, open, progress)
+  if (!progress.started) return refuseInterrupted(open, 'the stream ended before it began')
+  await endInterrupted(task, version, open, progress)
   return undefined
 }
 
-/** Passes pieces on until the body ends, breaks, or the caller has gone. */
-async function pass(
+/** Forwards pieces until the body ends or fails, or the caller disconnects. */
+async function forwardEvents(
   task: CompletionTask,
   version: ModelVersion,
   open: OpenAnswer,
@@ -112,35 +112,35 @@
 ): Promise<void> {
   const { responder, request } = task.context
   const keepUsage = task.completion.body.stream_options?.include_usage === true
-  const passPiece = (piece: Buffer): TakeOutcome => {
+  const forwardPiece = (piece: Buffer): TakeOutcome => {
     const end = splitEnd(piece, keepUsage)
     if (end) {
       const usage = end.usage ?? progress.usage
       if (usage) progress.usage = usage
-      return finish(task, version, open, progress, end.before, end.end)
+      return endAnswer(task, version, open, progress, end.before, end.end)
     }
     progress.lastId = lastEventId(piece) ?? progress.lastId
     progress.usage = usageIn(piece) ?? progress.usage
     if (request.signal.aborted) return 'stop'
     return responder.write(piece)
   }
-  const takePiece = (piece: Buffer): TakeOutcome => {
-    if (progress.started) return passPiece(piece)
+  const handlePiece = (piece: Buffer): TakeOutcome => {
+    if (progress.started) return forwardPiece(piece)
     if (modelOf(piece) !== formatVersion(version)) {
       progress.wrongVersion = true
       return 'stop'
     }
-    return begin(task, version, open, progress).then(() => passPiece(piece))
+    return startAnswer(task, version, open, progress).then(() => forwardPiece(piece))
   }
   try {
-    await forEachPiece(answer, takePiece)
+    await forEachPiece(answer, handlePiece)
   } catch {
-    // The stream broke; what came whole has been passed on and the rest can be asked for again.
+    // The connection failed. Complete events were forwarded; the stream can be resumed after them.
   }
 }
 
-/** The first byte goes out when the open bill survives the loss of this box. */
-async function begin(
+/** Starts the response once the open bill survives the loss of this box. */
+async function startAnswer(
   task: CompletionTask,
   version: ModelVersion,
   open: OpenAnswer,
@@ -148,15 +148,15 @@
 ): Promise<void> {
   const { context, bill } = task
   const { services } = context
-  await bill.whenOpenIsSafe()
+  await bill.whenOpenIsDurable()
   context.responder.start(200, answerHeaders(task, open, version, 'text/event-stream'))
   progress.started = true
-  noteServed(task, version, open)
+  recordServed(task, version, open)
   services.metrics.timing('first_token', services.clock.now() - context.receivedAt)
 }
 
-/** The end goes out when the closed bill survives the loss of this box. */
-async function finish(
+/** Ends the response once the closed bill survives the loss of this box. */
+async function endAnswer(
   { context, bill }: CompletionTask,
   version: ModelVersion,
   open: OpenAnswer,
@@ -167,14 +167,14 @@
   open.release('whole')
   const usage = progress.usage ?? { promptTokens: 0, completionTokens: progress.lastId }
   bill.addLine(version, open.view.id, usage)
-  const safe = bill.close('answered')
+  const durable = bill.close('answered')
   if (before.length > 0) await context.responder.write(before)
-  await safe
+  await durable
   context.responder.end(end)
   progress.ended = true
 }
 
-/** Asks the engine for the rest of a stream that broke. */
+/** Requests the remaining events of an interrupted stream from the engine. */
 async function resume(
   { services }: RequestContext,
   open: OpenAnswer,
@@ -194,7 +194,7 @@
   }
 }
 
-/** The caller has hung up: the engine stops, and what it has made is billed. */
+/** Cancels the stream at the engine after the caller disconnected, and bills what was generated. */
 async function cancel(
   { context, bill }: CompletionTask,
   version: ModelVersion,
@@ -225,7 +225,7 @@
   }
 }
 
-async function endCutOff(
+async function endInterrupted(
   { context, bill, completion }: CompletionTask,
   version: ModelVersion,
   open: OpenAnswer,
@@ -241,7 +241,7 @@
   })
 }
 
-/** An engine refused the request itself: the caller gets the engine's words. It did not run. */
+/** Forwards a client error of the engine and voids the bill, as the request did not run. */
 function relayClientError(
   { responder, services, id, billId }: RequestContext,
   open: OpenAnswer,
@@ -257,7 +257,7 @@
   return undefined
 }
 
-/** Headers that say who answered. */
+/** Response headers, with the version and the upstream that answered. */
 export function answerHeaders(
   { context, versions }: CompletionTask,
   open: OpenAnswer,
@@ -274,8 +274,8 @@
   }
 }
 
-/** Counts the answer as evidence-to-come of its version. */
-export function noteServed(
+/** Records the answer for its version's exposure limit and for a later rating. */
+export function recordServed(
   { context, completion, promised }: CompletionTask,
   version: ModelVersion,
   open: OpenAnswer,
@@ -290,7 +290,7 @@
   })
 }
 
-function refuseCut(open: OpenAnswer, error: unknown): Refusal {
+function refuseInterrupted(open: OpenAnswer, error: unknown): Refusal {
   return refuseMayHaveRun(
     'upstream-failed',
     `the upstream ${open.view.id} broke off: ${String(error)}`,
@@ -298,7 +298,7 @@
   )
 }
 
-function refuseUnproved(version: ModelVersion): Refusal {
+function refuseWrongVersions(version: ModelVersion): Refusal {
   return refuseMayHaveRun(
     'upstream-failed',
     `the upstreams answered for other versions than ${formatVersion(version)}; no byte of that was passed on`,
--- a/packages/box/src/requests/resolveSession.ts
+++ b/packages/box/src/requests/resolveSession.ts
@@ -21,23 +21,27 @@
   foreign: 'the session token belongs to another organisation; send "new" for a new session',
 }
 
-/** The versions of a request: those of its session, or chosen for this request alone. */
+/** Model versions of a request: pinned by its session, or chosen for this request only. */
 export class SessionVersions {
+  /** Whether the caller's token is missing or out of date. */
   #isChanged: boolean
 
   constructor(
     private readonly context: RequestContext,
     private readonly session: Session,
-    private readonly isKept: boolean,
+    private readonly isPersistent: boolean,
     isNew: boolean,
   ) {
     this.#isChanged = isNew
   }
 
-  /** The version of a model. A session's version is kept, or the request is refused; it is never swapped. */
+  /**
+   * Returns the version of a model. A version pinned by the session is never replaced: if it may no
+   * longer be used, the request is refused.
+   */
   versionOf(model: string): Result<ModelVersion, Refusal> {
-    const fixed = this.session.versions[model]
-    if (fixed !== undefined) return this.#checkFixed({ model, version: fixed })
+    const pinned = this.session.versions[model]
+    if (pinned !== undefined) return this.#checkPinned({ model, version: pinned })
     const { services, rights, organisation } = this.context
     const version = chooseVersion(rights, organisation, model, services.exposure, services.random)
     if (version === undefined) return Result.err(this.#refuseModel(model))
@@ -46,15 +50,15 @@
     return Result.ok({ model, version })
   }
 
-  /** The header with the session's token, when the caller has to keep a new one. */
+  /** The header with the session token, if the caller has to store a new one. */
   headers(): Record<string, string> {
-    if (!this.isKept || !this.#isChanged) return {}
+    if (!this.isPersistent || !this.#isChanged) return {}
     return {
       [SESSION_HEADER]: signSession(this.session, this.context.services.settings.sessionKeys),
     }
   }
 
-  #checkFixed(version: ModelVersion): Result<ModelVersion, Refusal> {
+  #checkPinned(version: ModelVersion): Result<ModelVersion, Refusal> {
     const refusal = checkVersion(this.context, version)
     return refusal ? Result.err(refusal) : Result.ok(version)
   }
@@ -72,7 +76,7 @@
   }
 }
 
-/** Refuses a version that a running session may no longer use, by any table that may be in force. */
+/** Refuses a version unless all tables that may be current allow an existing session to use it. */
 export function checkVersion(
   { rights, organisation }: Pick<RequestContext, 'rights' | 'organisation'>,
   version: ModelVersion,
@@ -88,12 +92,17 @@
   return refuseNotRun('not-allowed', `the organisation may not use ${formatVersion(version)}`)
 }
 
-/** Reads the session of a request, starts one, or goes without. */
+/**
+ * Verifies the session token of a request. Starts a session if the token is `new`; without a token,
+ * versions are chosen for this request only.
+ */
 export function resolveSession(context: RequestContext): Result<SessionVersions, Refusal> {
   const token = context.request.headers[SESSION_HEADER]
   if (token === undefined || token === NEW_SESSION) {
-    const isKept = token === NEW_SESSION
-    return Result.ok(new SessionVersions(context, startSession(context), isKept, isKept))
+    const isPersistent = token === NEW_SESSION
+    return Result.ok(
+      new SessionVersions(context, startSession(context), isPersistent, isPersistent),
+    )
   }
   const verified = verifySession(token, context.organisation, context.services.settings.sessionKeys)
   if (verified.isErr) {
@@ -102,7 +111,7 @@
   return Result.ok(new SessionVersions(context, verified.value, true, false))
 }
 
-/** A kept session fixes the versions of all models that it may use, so that they never change under way. */
+/** Starts a session. With the token `new`, it pins a version of every allowed model at once. */
 function startSession(context: RequestContext): Session {
   const { services, rights, organisation } = context
   const session: Session = {
--- a/packages/box/src/requests/resumeStream.ts
+++ b/packages/box/src/requests/resumeStream.ts
@@ -6,8 +6,8 @@
 export const STREAM_PATH = '/v1/streams/'
 
 /**
- * Takes an answer up again after the box that passed it on has died: the engine is asked for the events after
- * the last one that the caller has. The bill stays with the box that took it over.
+ * Resumes a stream after the box that relayed it failed: relays the engine's events after the last
+ * one that the caller has received. The box that took over the bill settles it.
  */
 export async function resumeStream(context: RequestContext): Promise<void> {
   const { request, services, organisation, responder, id } = context
--- a/packages/box/src/requests/sendToUpstream.ts
+++ b/packages/box/src/requests/sendToUpstream.ts
@@ -23,45 +23,51 @@
 import { Result } from 'true-myth'
 import type { RequestContext, SendPlan } from '../types/context.js'
 import { UpstreamFailure, type UpstreamAnswer, type UpstreamRequest } from '../types/ports.js'
-import { SuspectSends } from './suspectSends.js'
+import { SuspectAttempts } from './suspectSends.js'
 
-/** An answer that has begun at an upstream. `release` is called once, when it has ended. */
+/** An answer that an upstream has started. */
 export interface OpenAnswer {
   view: UpstreamView
   answer: UpstreamAnswer
   streamId: string
+  /** Must be called when the answer has ended. Further calls have no effect. */
   release(ended: AnswerEnd): void
 }
 
 /**
- * `whole`: it came to its end, so that the request crashes nobody. `well`: it was wanted no more. `broken`: its upstream may have ended.
- * `turned-away`: the upstream asked for rest.
+ * How an answer ended.
+ *
+ * - `whole`: completed, which clears the request of crash suspicion
+ * - `well`: no fault of the upstream, for example cancelled by the caller
+ * - `badly`: an error status of the upstream
+ * - `broken`: the connection failed; the upstream process may have crashed
+ * - `turned-away`: rejected with a `Retry-After`
  */
 export type AnswerEnd = 'badly' | 'broken' | 'turned-away' | 'well' | 'whole'
 
 export interface SendOptions {
   plan: SendPlan
   outlook: RequestOutlook
-  /** Upstreams that hold part of the prompt. */
+  /** Upstreams whose prefix cache holds part of the prompt. */
   affine: readonly UpstreamView[]
-  /** Upstreams that failed this request before; shared by the tries of one request. */
+  /** Ids of upstreams that failed this request. Shared by all attempts, which add to it. */
   excluded: Set<string>
   buildRequest(view: UpstreamView, streamId: string): UpstreamRequest
-  /** Last look before the request leaves: what held when it came may no longer hold. */
-  checkBefore(): Refusal | undefined
-  /** Called when the upstream is chosen, before the request leaves. */
+  /** Repeats checks made on arrival, whose results may be out of date, before each attempt. */
+  checkBeforeSend(): Refusal | undefined
+  /** Called when an upstream is chosen, before the request is sent. */
   onChosen(view: UpstreamView, streamId: string): void
 }
 
-const LARGEST_TRIES = 3
-const NO_UPSTREAM_RETRY: Milliseconds = 1_000
+const MAX_ATTEMPTS = 3
+const RETRY_DELAY: Milliseconds = 1_000
 
-/** Statuses by which an upstream says that it did not take the request. */
-const NOT_TAKEN = new Set([404, 409, 429, 503])
+/** Statuses of an upstream that did not run the request. */
+const NOT_ACCEPTED_STATUSES = new Set([404, 409, 429, 503])
 
 /**
- * Sends a request to the best upstream. A try that is known not to have been taken may be made again
- * elsewhere; one that may have run is made again only if the request may be repeated. Both are paid for from
+ * Sends a request to the best upstream. A failed attempt that did not run is retried at another
+ * upstream; one that may have run is retried only if `plan.mayRepeat`. Each retry takes a token of
  * the retry budget.
  */
 export async function sendToUpstream(
@@ -69,27 +75,27 @@
   options: SendOptions,
 ): Promise<Result<OpenAnswer, Refusal>> {
   const { services } = context
-  const sends = new SuspectSends(context, options.plan.served)
+  const attempts = new SuspectAttempts(context, options.plan.served)
   const refuse = (refusal: Refusal) => {
-    sends.endTrial()
+    attempts.endTrial()
     return Result.err<OpenAnswer, Refusal>(refusal)
   }
-  for (let tries = 1; ; tries++) {
-    const early = await sends.awaitTurn(options.plan.admission.deadline)
-    if (early) return Result.err(early)
-    const view = pickUpstream(context, options, tries)
+  for (let attempt = 1; ; attempt++) {
+    const suspectRefusal = await attempts.awaitTurn(options.plan.admission.deadline)
+    if (suspectRefusal) return Result.err(suspectRefusal)
+    const view = pickUpstream(context, options, attempt)
     if (!view) return refuse(refuseNoUpstream(options.plan))
-    const refusal = admitTo(context, options, view) ?? options.checkBefore()
+    const refusal = admitTo(context, options, view) ?? options.checkBeforeSend()
     if (refusal) return refuse(refusal)
-    const sent = await sendOnce(context, options, sends, view, tries)
+    const sent = await sendOnce(context, options, attempts, view, attempt)
     if (sent.isOk || sent.error.verdict !== 'not-run') context.mayHaveRun = true
     if (sent.isOk) {
       earnRetry(services.retries)
       return Result.ok(sent.value)
     }
     options.excluded.add(view.id)
-    const mayTryAgain = sent.error.verdict === 'not-run' || options.plan.mayRepeat
-    const isLast = tries >= LARGEST_TRIES || !mayTryAgain || context.request.signal.aborted
+    const mayRetry = sent.error.verdict === 'not-run' || options.plan.mayRepeat
+    const isLast = attempt >= MAX_ATTEMPTS || !mayRetry || context.request.signal.aborted
     if (isLast || !spendRetry(services.retries)) return Result.err(sent.error)
     services.metrics.count('upstream.retries')
   }
@@ -98,7 +104,7 @@
 function pickUpstream(
   { services }: RequestContext,
   options: SendOptions,
-  turn: number,
+  attempt: number,
 ): UpstreamView | undefined {
   return chooseUpstream(services.strategy, {
     pool: services.upstreams.poolOf(options.plan.served),
@@ -107,7 +113,7 @@
     excluded: options.excluded,
     now: services.clock.now(),
     random: services.random,
-    turn,
+    turn: attempt,
   })
 }
 
@@ -117,8 +123,8 @@
   view: UpstreamView,
 ): Refusal | undefined {
   const uses = services.uses.usesOf(plan.served)
-  const own = uses.get(organisation)
-  if (own) own.share = limit.share
+  const ownUse = uses.get(organisation)
+  if (ownUse) ownUse.share = limit.share
   const pool = {
     firstToken: predictFirstToken(view, outlook, services.clock.now()),
     utilisation: services.upstreams.utilisationOf(plan.served),
@@ -131,30 +137,30 @@
 async function sendOnce(
   context: RequestContext,
   options: SendOptions,
-  sends: SuspectSends,
+  attempts: SuspectAttempts,
   view: UpstreamView,
-  tries: number,
+  attempt: number,
 ): Promise<Result<OpenAnswer, Refusal>> {
   const { services, organisation, limit, request } = context
   const { plan } = options
-  const streamId = `${context.id}/${plan.served}/${tries}`
+  const streamId = `${context.id}/${plan.served}/${attempt}`
   const sentAt = services.clock.now()
   const queue = predictQueue(view, sentAt)
   const span = services.tracer.start(`upstream ${view.id}`, context.span)
   span.set({ 'upstream.id': view.id, 'upstream.served': plan.served })
   options.onChosen(view, streamId)
   noteSent(view, sentAt)
-  const send = sends.noteSent(view)
+  const send = attempts.recordSend(view)
   services.uses.add(plan.served, organisation, limit.share)
 
   const release = once((ended: AnswerEnd) => {
     noteEnded(view, services.clock.now())
     services.uses.remove(plan.served, organisation)
-    const isGood = ended === 'well' || ended === 'whole'
-    if (isGood) noteSuccess(view, services.clock.now() - sentAt)
+    const isSuccess = ended === 'well' || ended === 'whole'
+    if (isSuccess) noteSuccess(view, services.clock.now() - sentAt)
     else if (ended !== 'turned-away') noteFailure(view, services.clock.now())
-    sends.noteEnd(view, send, ended)
-    span.end(isGood ? undefined : 'the upstream failed')
+    attempts.recordEnd(view, send, ended)
+    span.end(isSuccess ? undefined : 'the upstream failed')
   })
   try {
     const built = options.buildRequest(view, streamId)
@@ -163,63 +169,62 @@
       signal: request.signal,
       answerWithin: plan.admission.deadline - sentAt,
     })
-    const rest = readRest(answer)
-    if (rest !== undefined) {
-      noteAskedRest(view, rest, services.clock.now())
-      services.log.info({ upstream: view.id, rest }, 'an upstream asks for rest')
+    const retryAfter = readRetryAfter(answer)
+    if (retryAfter !== undefined) {
+      noteAskedRest(view, retryAfter, services.clock.now())
+      services.log.info(
+        { upstream: view.id, rest: retryAfter },
+        'upstream rejected a request with Retry-After; backing off',
+      )
       release('turned-away')
       return Result.err(refuseFailed(view, `answered with status ${answer.status}`, true))
     }
-    if (answer.status >= 500 || NOT_TAKEN.has(answer.status)) {
+    if (answer.status >= 500 || NOT_ACCEPTED_STATUSES.has(answer.status)) {
       release(answer.status === 429 || answer.status === 404 ? 'well' : 'badly')
       return Result.err(
-        refuseFailed(view, `answered with status ${answer.status}`, NOT_TAKEN.has(answer.status)),
+        refuseFailed(
+          view,
+          `answered with status ${answer.status}`,
+          NOT_ACCEPTED_STATUSES.has(answer.status),
+        ),
       )
     }
     noteFirstToken(view, services.clock.now() - sentAt, queue)
     return Result.ok({ view, answer, streamId, release })
   } catch (error) {
     release(request.signal.aborted ? 'well' : 'broken')
-    await sends.lookedAt
+    await attempts.crashChecked
     const failure =
       error instanceof UpstreamFailure ? error : new UpstreamFailure('maybe', String(error))
-    if (failure.late) return Result.err(refuseLate(failure))
+    if (failure.late) return Result.err(refuseDeadlinePassed(failure))
     return Result.err(refuseFailed(view, failure.message, failure.sent === 'no'))
   }
 }
 
-/** How long a rest the upstream asks for that has turned the request away. */
-function readRest({ status, headers }: UpstreamAnswer): Milliseconds | undefined {
+/** The `Retry-After` of an answer that rejects the request, in milliseconds. */
+function readRetryAfter({ status, headers }: UpstreamAnswer): Milliseconds | undefined {
   const seconds = TURNS_AWAY.has(status) ? readDecimal(headers['retry-after'] ?? '') : undefined
   return seconds === undefined ? undefined : seconds * 1_000
 }
 
-/** The refusal with a verdict that is true of the request and not of its last try alone. */
-export function withTrueVerdict({ mayHaveRun }: RequestContext, refusal: Refusal): Refusal {
-  const isUntrue = mayHaveRun && refusal.verdict === 'not-run'
-  return isUntrue ? { ...refusal, verdict: 'may-have-run' } : refusal
+/** Changes the verdict `not-run` of the last attempt if an earlier attempt may have run. */
+export function withRequestVerdict({ mayHaveRun }: RequestContext, refusal: Refusal): Refusal {
+  const isVerdictWrong = mayHaveRun && refusal.verdict === 'not-run'
+  return isVerdictWrong ? { ...refusal, verdict: 'may-have-run' } : refusal
 }
 
 function refuseNoUpstream(plan: SendPlan): Refusal {
-  return refuseNotRun(
-    'no-upstream',
-    `no upstream takes work for ${plan.served} now`,
-    NO_UPSTREAM_RETRY,
-  )
+  return refuseNotRun('no-upstream', `no upstream takes work for ${plan.served} now`, RETRY_DELAY)
 }
 
-function refuseFailed(view: UpstreamView, what: string, notRun: boolean): Refusal {
+function refuseFailed(view: UpstreamView, problem: string, notRun: boolean): Refusal {
   const refuse = notRun ? refuseNotRun : refuseMayHaveRun
-  return refuse('upstream-failed', `the upstream ${view.id} failed: ${what}`, NO_UPSTREAM_RETRY)
+  return refuse('upstream-failed', `the upstream ${view.id} failed: ${problem}`, RETRY_DELAY)
 }
 
-function refuseLate(failure: UpstreamFailure): Refusal {
+function refuseDeadlinePassed(failure: UpstreamFailure): Refusal {
   const refuse = failure.sent === 'no' ? refuseNotRun : refuseMayHaveRun
-  return refuse(
-    'deadline-passed',
-    'the upstream did not begin to answer in time',
-    NO_UPSTREAM_RETRY,
-  )
+  return refuse('deadline-passed', 'the upstream did not begin to answer in time', RETRY_DELAY)
 }
 
 function once<Argument>(run: (argument: Argument) => void): (argument: Argument) => void {
--- a/packages/box/src/requests/suspectRequest.ts
+++ b/packages/box/src/requests/suspectRequest.ts
@@ -4,35 +4,36 @@
 import type { RequestContent } from '../tasks/recentAnswers.js'
 import type { Trial } from '../tasks/suspectTable.js'
 
-/** Bytes of a digest. Two of a thousand million requests have the same by chance once in 10^20 times. */
+/** Long enough that digests of different requests do not collide in practice. */
 const DIGEST_BYTES = 16
 
-/** A run of the request, and what was held against it when it was sent. */
+/** One send of a request, and the suspicion against the request at that time. */
 export interface SuspectSend {
-  /** The run of the upstream. */
+  /** Id of the upstream process. */
   upstream: string
   known: SuspicionAtSend
 }
 
 export interface SuspectRequestOptions {
   suspects: CrashSuspects
-  /** Shared by all boxes, so that a request has one name at each, and its body cannot be guessed from a log. */
+  /** HMAC key shared by all boxes: digests agree, and do not reveal bodies in logs. */
   secret: string
   content: RequestContent
   service: string
-  /** Who sent it and where to, for operators. */
+  /** Sender, for operators. */
   organisation?: string | undefined
+  /** Route of the request, for operators. */
   route: string
 }
 
-/** One attempt at a request: what the boxes hold against it, and what its runs add to that. */
+/** One request at this box, with the suspicion that it crashes the upstreams that run it. */
 export class SuspectRequest {
   #digest: string | undefined
   #trial: Trial | undefined
 
   constructor(private readonly options: SuspectRequestOptions) {}
 
-  /** The same for each attempt at the same request. Worked out only once it is asked for. */
+  /** Keyed hash that identifies the request across attempts and boxes. Computed on first use. */
   get digest(): string {
     const { secret, content } = this.options
     this.#digest ??= createHmac('sha256', secret)
@@ -44,12 +45,12 @@
     return this.#digest
   }
 
-  /** For the log: undefined where nobody asked for it. */
+  /** The digest if it was computed before, else undefined. For log lines. */
   get knownDigest(): string | undefined {
     return this.#digest
   }
 
-  /** Upstreams that ended under it in a row. */
+  /** Number of consecutive upstream crashes while the request was in flight. */
   get crashes(): number {
     return this.#known.crashes
   }
@@ -59,7 +60,11 @@
     return suspects.isEmpty ? UNSUSPECTED : suspects.find(this.digest)
   }
 
-  /** Waits until the request may be sent to an upstream: until it is known what became of its runs elsewhere. */
+  /**
+   * Waits until the request may be sent, at most until `until`. A suspect request waits for its
+   * trials at other boxes to end. Resolves with `condemned` if the request is quarantined and with
+   * `busy` if another trial is still running at `until`.
+   */
   async awaitTurn(until: Milliseconds): Promise<'busy' | 'condemned' | 'may-run'> {
     const { suspects } = this.options
     this.endTrial()
@@ -69,20 +74,21 @@
     return turn.type === 'free' || turn.type === 'trial' ? 'may-run' : turn.type
   }
 
+  /** Records a send to an upstream process. Pass the result to `noteCrash` if it crashes. */
   noteSent(upstream: string): SuspectSend {
     const known = this.#known
     if (this.#trial) this.options.suspects.noteSent(this.digest, this.#trial, upstream)
     return { upstream, known }
   }
 
-  /** The request came to a whole answer whose end could be seen. */
+  /** Records an answer that was received to its end, which clears the request of suspicion. */
   noteWhole(): void {
     const { suspects, content } = this.options
     suspects.answers.note(content)
     if (!suspects.isEmpty) suspects.noteWhole(this.digest)
   }
 
-  /** The upstream's process ended with the request aboard. */
+  /** Records that the upstream process crashed while the request was in flight. */
   noteCrash({ upstream, known }: SuspectSend): void {
     const { suspects, content, service, organisation, route } = this.options
     suspects.noteCrash({
@@ -96,7 +102,7 @@
     })
   }
 
-  /** The run has ended, or never began. */
+  /** Ends the trial of the request, if it has one, so that other attempts may be sent. */
   endTrial(): void {
     if (this.#trial) this.options.suspects.endTrial(this.digest, this.#trial)
     this.#trial = undefined
--- a/packages/box/src/requests/suspectSends.ts
+++ b/packages/box/src/requests/suspectSends.ts
@@ -10,19 +10,16 @@
 import type { AnswerEnd } from './sendToUpstream.js'
 import { SuspectRequest, type SuspectSend } from './suspectRequest.js'
 
-/** Upstreams are asked here for their load; whoever does not listen refuses the connection. */
+/** Path of the probe. A crashed upstream refuses the connection. */
 const LOAD_PATH = '/load'
-/** When others may know whether a request that they run ends its upstream. */
-const BUSY_RETRY: Milliseconds = 1_000
+/** Time after which a trial at another box is likely to have ended. */
+const BUSY_RETRY_DELAY: Milliseconds = 1_000
 
-/**
- * The sends of one request: three tries of each of many attempts at many boxes would end as many upstreams under it, as in
- * `CrashSuspects`.
- */
-export class SuspectSends {
+/** Attempts of one request. Retries wait for `CrashSuspects`, so as not to crash more upstreams. */
+export class SuspectAttempts {
   readonly #suspect: SuspectRequest
-  /** Resolves once it is known whether the upstream of the last broken answer has ended. */
-  lookedAt: Promise<void> = Promise.resolve()
+  /** Resolves when the upstream of the last broken answer has been probed for a crash. */
+  crashChecked: Promise<void> = Promise.resolve()
 
   constructor(
     private readonly context: RequestContext,
@@ -42,7 +39,7 @@
     })
   }
 
-  /** Waits until the request may be sent to an upstream, or says why it may not. */
+  /** Waits until the request may be sent. Returns a refusal if quarantined or at the deadline. */
   async awaitTurn(deadline: Milliseconds): Promise<Refusal | undefined> {
     const turn = await this.#suspect.awaitTurn(deadline)
     if (turn === 'condemned')
@@ -54,18 +51,19 @@
       return refuseNotRun(
         'no-upstream',
         'an upstream ended under this request, and another box looks whether it is the cause',
-        BUSY_RETRY,
+        BUSY_RETRY_DELAY,
       )
     return undefined
   }
 
-  noteSent(view: UpstreamView): SuspectSend {
+  recordSend(view: UpstreamView): SuspectSend {
     return this.#suspect.noteSent(view.id)
   }
 
-  noteEnd(view: UpstreamView, send: SuspectSend, ended: AnswerEnd): void {
+  recordEnd(view: UpstreamView, send: SuspectSend, ended: AnswerEnd): void {
     if (ended === 'whole') this.#suspect.noteWhole()
-    if (ended === 'broken') this.lookedAt = this.#lookAt(view, send).finally(() => this.endTrial())
+    if (ended === 'broken')
+      this.crashChecked = this.#checkCrash(view, send).finally(() => this.endTrial())
     else this.endTrial()
   }
 
@@ -73,8 +71,8 @@
     this.#suspect.endTrial()
   }
 
-  /** An answer did not come, or broke off: looks whether the upstream's process has ended. */
-  async #lookAt(view: UpstreamView, send: SuspectSend): Promise<void> {
+  /** Probes the upstream of a failed answer and records a crash if it refuses the connection. */
+  async #checkCrash(view: UpstreamView, send: SuspectSend): Promise<void> {
     const { client, log } = this.context.services
     try {
       await client.send(view.address, { method: 'GET', path: LOAD_PATH, headers: {} })
@@ -82,7 +80,7 @@
       if (!(error instanceof UpstreamFailure)) throw error
       if (error.sent !== 'no') return
       const request = this.#suspect.digest
-      log.warn({ upstream: view.id, request }, 'an upstream ended under a request')
+      log.warn({ upstream: view.id, request }, 'upstream crashed while it ran a request')
       this.#suspect.noteCrash(send)
     }
   }
