--- a/packages/gateway/test/testFleet.ts
+++ b/packages/gateway/test/testFleet.ts
@@ -20,17 +20,18 @@
   type WriteOutcome,
 } from '../src/index.js'
 
-/** How long a message between boxes, or a call to the store, takes one way. */
-const DELAY: Milliseconds = 2
+/** One-way latency of messages between boxes and of store calls. */
+const NETWORK_DELAY: Milliseconds = 2
 
-/** One box of a fleet, and what a test may do to it. */
+/** One box of a simulated fleet. */
 export interface FleetBox {
   identity: PeerIdentity
   gateway: Gateway
-  /** The store refuses its calls. */
+  /** Makes all store calls of this box fail. */
   isTurnedAway: boolean
 }
 
+/** Gateways on one manual clock, with a simulated network and store. */
 export interface Fleet {
   clock: ManualClock
   boxes: FleetBox[]
@@ -44,18 +45,21 @@
     condemned: Map<string, CondemnedEntry>
     rollouts: RolloutStatus[]
   }
-  /** Messages of a type that boxes sent each other. */
+  /** Number of messages of a type that were sent between boxes. */
   sent(type: GatewayMessage['type']): number
-  /** Events in the logs of all boxes. */
+  /** Event log entries of all boxes; `at` is the time on the manual clock. */
   notes: { event: string; at?: Milliseconds }[]
-  /** Lines of requests that came to their end, of all boxes. */
+  /** Request log entries of finished requests, of all boxes. */
   lines: { request?: string; outcome?: string; status?: number }[]
-  /** Adds boxes and starts them at the same moment. */
+  /** Adds boxes and starts them at the same time. */
   add(count: number): FleetBox[]
-  /** What these boxes say to others, and others to them, is lost; the store does not answer them. Each call replaces the last. */
+  /**
+   * Partitions these boxes: their messages in both directions are lost and their store calls fail.
+   * Each call replaces the previous partition; an empty list heals it.
+   */
   cutOff(boxes: readonly FleetBox[]): void
-  /** Boxes end without a word, and start again under their names. */
-  restart(ended: readonly FleetBox[]): Promise<FleetBox[]>
+  /** Stops boxes without draining and starts each under its name, with the next incarnation. */
+  restart(stopped: readonly FleetBox[]): Promise<FleetBox[]>
   stop(): Promise<void>
 }
 
@@ -66,21 +70,24 @@
   limits: { bodyBytes: 1_000, headerTimeout: 1_000, idleTimeout: 1_000 },
 }
 
-/** A call to the store of one box: it takes its time, is counted, and fails while the store is out or turns the box away. */
+/**
+ * Runs a store call of one box with simulated latency and counts it. Rejects while the store is
+ * unavailable or refuses this box.
+ */
 export type StoreCall = <T>(work: () => T) => Promise<T>
 
-/** What the boxes of a fleet are given beside their names. */
+/** Settings of a simulated fleet. */
 export interface FleetOptions {
   createStore?: (call: StoreCall, clock: ManualClock) => Store
   configuration?: Configuration
   dialect?: Dialect
   openChannels?: OpenChannels
-  /** Whether an address takes connections. All do where it is left out. */
+  /** Whether an address accepts connections. Default: all do. */
   probe?(address: string): Promise<boolean>
   seed?: number
 }
 
-/** Gateways on a moved clock, linked in memory, before one store that counts its calls. */
+/** Creates a fleet without boxes; `add` creates and starts them. */
 export function createFleet(
   dataCentres: readonly string[],
   {
@@ -112,17 +119,18 @@
     condemned: new Map(),
     rollouts: [],
   }
-  const network = new MemoryLinks(clock)
-  const pause = (span: Milliseconds) =>
-    new Promise<void>(resolve => clock.after(span, () => resolve()))
+  const network = new InMemoryNetwork(clock)
+  const sleep = (duration: Milliseconds) =>
+    new Promise<void>(resolve => clock.after(duration, () => resolve()))
 
-  function storeOf(box: () => FleetBox): Store {
+  function createBoxStore(box: () => FleetBox): Store {
     const call = async <T>(work: () => T): Promise<T> => {
       store.calls++
-      await pause(DELAY)
-      if (store.isOut || box().isTurnedAway) throw new Error('the store does not answer')
+      await sleep(NETWORK_DELAY)
+      if (store.isOut || box().isTurnedAway)
+        throw new Error('simulated store outage (store.isOut or isTurnedAway)')
       const value = work()
-      await pause(DELAY)
+      await sleep(NETWORK_DELAY)
       return value
     }
     if (createStore) return createStore(call, clock)
@@ -132,7 +140,7 @@
       readOperatorState: () => read(() => store.operators),
       async awaitOperatorState(revision, wait) {
         const answer = await read(() => store.operators.revision > revision)
-        if (!answer.value) await pause(wait)
+        if (!answer.value) await sleep(wait)
         return answer
       },
       readUpstreams: () => read(() => store.upstreams),
@@ -149,18 +157,18 @@
   }
 
   function writeRollout(status: Omit<RolloutStatus, 'revision'>, expected: number): WriteOutcome {
-    const known = store.rollouts.find(({ service }) => service === status.service)
-    if ((known?.revision ?? 0) !== expected) return 'conflict'
+    const current = store.rollouts.find(({ service }) => service === status.service)
+    if ((current?.revision ?? 0) !== expected) return 'conflict'
     const others = store.rollouts.filter(({ service }) => service !== status.service)
     store.rollouts = [...others, { ...status, revision: ++store.version }]
     return 'written'
   }
 
-  function createBox(number: number, run = 1): FleetBox {
+  function createBox(number: number, incarnation = 1): FleetBox {
     const name = `box-${String(number).padStart(3, '0')}`
     const identity: PeerIdentity = {
       box: name,
-      incarnation: String(run),
+      incarnation: String(incarnation),
       dataCentre: dataCentres[number % dataCentres.length]!,
       entryAddress: `${name}:1`,
       peerAddress: `${name}:2`,
@@ -174,7 +182,7 @@
           dataCentre: identity.dataCentre,
           listen: { entry: '', readiness: '', directory: '', peers: '' },
           peerSecret: '',
-          isFirstStart: run === 1,
+          isFirstStart: incarnation === 1,
           keyRevocation: 5_000,
           newsWithin: 3_000,
           addressLifetime: 2_000,
@@ -194,7 +202,7 @@
         metrics: createGatewayMetrics(),
         dialect: dialect ?? ({} as Dialect),
         ...(openChannels && { openChannels, probe }),
-        store: storeOf(() => box),
+        store: createBoxStore(() => box),
         transport: network.join(identity),
         onConfiguration() {},
       }),
@@ -210,24 +218,24 @@
     boxes,
     store,
     add(count) {
-      const added = Array.from({ length: count }, (_, at) => createBox(boxes.length + at))
+      const added = Array.from({ length: count }, (_, index) => createBox(boxes.length + index))
       boxes.push(...added)
       for (const { gateway } of added) gateway.start()
       return added
     },
-    cutOff(cut) {
-      network.cut = new Set(cut.map(({ identity }) => identity.box))
-      for (const box of boxes) box.isTurnedAway = cut.includes(box)
+    cutOff(partitioned) {
+      network.partitioned = new Set(partitioned.map(({ identity }) => identity.box))
+      for (const box of boxes) box.isTurnedAway = partitioned.includes(box)
     },
-    async restart(ended) {
-      for (const { gateway } of ended) await gateway.stop()
-      return ended.map(box => {
-        const at = boxes.indexOf(box)
-        const run = Number(box.identity.incarnation) + 1
-        const next = createBox(at, run)
-        boxes[at] = next
-        next.gateway.start()
-        return next
+    async restart(stopped) {
+      for (const { gateway } of stopped) await gateway.stop()
+      return stopped.map(box => {
+        const index = boxes.indexOf(box)
+        const incarnation = Number(box.identity.incarnation) + 1
+        const restarted = createBox(index, incarnation)
+        boxes[index] = restarted
+        restarted.gateway.start()
+        return restarted
       })
     },
     async stop() {
@@ -236,11 +244,11 @@
   }
 }
 
-/** Links between boxes in memory: one way each, as the boxes dial them. */
-class MemoryLinks {
+/** Simulated network with one-way links, opened by the dialling box. */
+class InMemoryNetwork {
   readonly sent = new Map<GatewayMessage['type'], number>()
-  /** Boxes that hear nobody and are heard by nobody. */
-  cut: ReadonlySet<string> = new Set()
+  /** Names of boxes whose messages are lost in both directions. */
+  partitioned: ReadonlySet<string> = new Set()
   readonly #members = new Map<
     string,
     { identity: PeerIdentity; listener?: PeerListener<GatewayMessage> }
@@ -256,20 +264,20 @@
       listen: listener => void (member.listener = listener),
       link: peers => {
         for (const { address } of peers) {
-          const other = this.#members.get(address)
-          if (!other || linked.has(address)) continue
+          const peer = this.#members.get(address)
+          if (!peer || linked.has(address)) continue
           linked.add(address)
-          this.clock.after(DELAY, () => member.listener?.onConnected(other.identity))
+          this.clock.after(NETWORK_DELAY, () => member.listener?.onConnected(peer.identity))
         }
       },
       send: (to, message) => {
         const name = to.split('/')[0]!
-        const other = [...this.#members.values()].find(({ identity: { box } }) => box === name)
-        if (!other || !linked.has(other.identity.peerAddress)) return false
-        if (this.cut.has(name) || this.cut.has(identity.box)) return false
+        const recipient = [...this.#members.values()].find(({ identity: { box } }) => box === name)
+        if (!recipient || !linked.has(recipient.identity.peerAddress)) return false
+        if (this.partitioned.has(name) || this.partitioned.has(identity.box)) return false
         this.sent.set(message.type, (this.sent.get(message.type) ?? 0) + 1)
         const copy = structuredClone(message)
-        this.clock.after(DELAY, () => other.listener?.onMessage(identity, copy))
+        this.clock.after(NETWORK_DELAY, () => recipient.listener?.onMessage(identity, copy))
         return true
       },
       close: () => Promise.resolve(),
--- a/packages/gateway/test/testGateway.ts
+++ b/packages/gateway/test/testGateway.ts
@@ -18,7 +18,7 @@
   type Store,
 } from '../src/index.js'
 
-/** A dialect with plain names, so that the gateway is tested without any platform. */
+/** A dialect with plain header names, independent of any platform. */
 const testDialect: Dialect = {
   readRequest(headers) {
     const get = (name: string) => valueOf(headers, name)
@@ -34,11 +34,11 @@
     }
   },
   writeRequest(headers, fields) {
-    const written = ['id', valueOf(headers, 'id') ?? '', 'upstream', fields.upstreamId]
-    written.push('time-left', String(fields.timeLeft))
-    if (fields.model !== undefined) written.push('model', fields.model)
-    if (fields.lastEventId !== undefined) written.push('last-event-id', fields.lastEventId)
-    return written
+    const forwarded = ['id', valueOf(headers, 'id') ?? '', 'upstream', fields.upstreamId]
+    forwarded.push('time-left', String(fields.timeLeft))
+    if (fields.model !== undefined) forwarded.push('model', fields.model)
+    if (fields.lastEventId !== undefined) forwarded.push('last-event-id', fields.lastEventId)
+    return forwarded
   },
   readAnswer(headers) {
     const get = (name: string) => valueOf(headers, name)
@@ -67,22 +67,25 @@
 }
 
 function valueOf(headers: readonly string[], name: string): string | undefined {
-  const at = headers.findIndex((text, index) => index % 2 === 0 && text.toLowerCase() === name)
-  return at === -1 ? undefined : headers[at + 1]
+  const position = headers.findIndex(
+    (text, index) => index % 2 === 0 && text.toLowerCase() === name,
+  )
+  return position === -1 ? undefined : headers[position + 1]
 }
 
-/** What a stand-in upstream does with a request. `run` counts as having run it. */
+/** How a fake upstream handles a request whose body it has read. */
 export type Behaviour = (request: IncomingMessage, response: ServerResponse) => void
 
+/** An HTTP server on loopback that acts as an upstream. */
 export interface StandInUpstream {
   id: string
   listed: ListedUpstream
-  /** Requests that reached it. */
+  /** Requests received, in order of arrival. */
   requests: IncomingMessage[]
   close(): void
 }
 
-/** An upstream on loopback. */
+/** Starts a fake upstream of service `desk`; `id` is its process id in the upstream list. */
 export async function startUpstream(id: string, behave: Behaviour): Promise<StandInUpstream> {
   const requests: IncomingMessage[] = []
   const server = createServer((request, response) => {
@@ -116,19 +119,21 @@
   return `127.0.0.1:${(server.address() as AddressInfo).port}`
 }
 
+/** A gateway on loopback with a manual clock and an in-memory store. */
 export interface TestGateway {
   gateway: Gateway
   clock: ManualClock
   entry: EntryServer
-  /** What the store gives from now on. */
+  /** State that later store reads return; reads fail while `isOut` is true. */
   store: { operators: OperatorState; upstreams: ListedUpstream[]; isOut: boolean; version: number }
-  /** Lines of requests that came to their end. */
+  /** Request log entries of finished requests. */
   lines: { outcome?: string; status?: number }[]
-  /** Moves the clock until something holds. */
+  /** Advances the clock in steps until the condition holds; throws after `MAX_STEPS`. */
   until(condition: () => boolean): Promise<void>
   close(): Promise<void>
 }
 
+/** A public route for idempotent calls to service `desk`, with the given changes. */
 export function createTestRoute(change: Partial<Route>): Route {
   return {
     name: 'route',
@@ -147,7 +152,7 @@
   }
 }
 
-/** A gateway on loopback whose clock the test moves. */
+/** Starts a gateway on loopback with a manual clock and waits until it is ready. */
 export async function startTestGateway(
   upstreams: readonly StandInUpstream[],
   configuration: Partial<Configuration>,
@@ -174,11 +179,11 @@
   }
   const read = <T>(value: T) =>
     state.isOut
-      ? Promise.reject(new Error('the store is out'))
+      ? Promise.reject(new Error('simulated store outage (store.isOut)'))
       : Promise.resolve({ value, version: state.version, storeNow: clock.now() })
   const store: Store = {
     readOperatorState: () => read(state.operators),
-    // Waits on the moved clock, as the store does, so that a reader does not spin.
+    // Waits on the manual clock like a long poll, so that the reader does not spin.
     awaitOperatorState: (revision, wait) =>
       new Promise(resolve => clock.after(wait, () => resolve(undefined))).then(() =>
         read(state.operators.revision > revision),
@@ -235,8 +240,8 @@
   })
   gateway.start()
   const until = async (condition: () => boolean) => {
-    for (let step = 0; step < MOST_STEPS && !condition(); step++) await clock.advance(STEP)
-    if (!condition()) throw new Error('what was waited for did not come about')
+    for (let step = 0; step < MAX_STEPS && !condition(); step++) await clock.advance(STEP_DURATION)
+    if (!condition()) throw new Error('the condition is still false after 20 s on the manual clock')
   }
   await until(() => gateway.isReady())
   return {
@@ -254,5 +259,6 @@
   }
 }
 
-const STEP = 5
-const MOST_STEPS = 4_000
+/** In milliseconds. */
+const STEP_DURATION = 5
+const MAX_STEPS = 4_000
