--- a/packages/box/src/node/httpPlatform.ts
+++ b/packages/box/src/node/httpPlatform.ts
@@ -15,7 +15,7 @@
 } from '../types/ports.js'
 import { readText } from '../tasks/upstreamTask.js'
 
-const PATIENCE: Milliseconds = 3_000
+const REQUEST_TIMEOUT: Milliseconds = 3_000
 
 interface EncodedRow {
   key: string
@@ -23,18 +23,18 @@
   mod_revision: string
 }
 
-interface ReadAnswer {
+interface TransactionResponse {
   responses?: { response_range?: { kvs?: EncodedRow[] } }[]
 }
 
-/** Addresses of the platform's services. */
+/** Addresses (`host:port`) of the platform's services. Reads of an absent service return undefined. */
 export interface PlatformAddresses {
   table: string
   boxList?: string | undefined
   ratings?: string | undefined
 }
 
-/** The platform over HTTP. */
+/** Creates a client of the platform's HTTP services. */
 export function createHttpPlatform(client: UpstreamClient, addresses: PlatformAddresses): Platform {
   return {
     table: createHttpTable(client, addresses.table),
@@ -52,8 +52,8 @@
 }
 
 /**
- * The table service in the published JSON form of the etcd version 3 interface. Rows are compared by their
- * modification revision, which is 0 for an absent row.
+ * Creates a client of the table service, over the JSON gateway of the etcd v3 API. The version of a
+ * row is its `mod_revision`, which is 0 for an absent row.
  */
 export function createHttpTable(client: UpstreamClient, address: string): TableService {
   const post = (path: string, body: object) => postJson(client, address, path, body)
@@ -66,21 +66,21 @@
     }
   }
   return {
-    /** One transaction that only reads, so that the rows are of one instant and cost one read. */
+    /** Reads all keys in one transaction, so that the rows share a revision and count as one read. */
     async read(keys): Promise<ReadOutcome> {
-      const ranges = keys.map(key => ({ request_range: { key: encode(key) } }))
+      const ranges = keys.map(key => ({ request_range: { key: encodeBase64(key) } }))
       try {
-        const answer = (await post('/v3/kv/txn', { success: ranges })) as ReadAnswer
-        const found = (answer.responses ?? []).flatMap(each => each.response_range?.kvs ?? [])
-        return { outcome: 'read', rows: found.map(decodeRow) }
+        const answer = (await post('/v3/kv/txn', { success: ranges })) as TransactionResponse
+        const rows = (answer.responses ?? []).flatMap(each => each.response_range?.kvs ?? [])
+        return { outcome: 'read', rows: rows.map(decodeRow) }
       } catch {
         return { outcome: 'unavailable' }
       }
     },
     list(prefix, { after, limit } = {}) {
       return range({
-        key: encode(after !== undefined ? `${after}\0` : prefix),
-        range_end: encode(endOfPrefix(prefix)),
+        key: encodeBase64(after !== undefined ? `${after}\0` : prefix),
+        range_end: encodeBase64(endOfPrefix(prefix)),
         ...(limit !== undefined && { limit }),
       })
     },
@@ -109,10 +109,10 @@
       headers: { 'content-type': 'application/json' },
       body: JSON.stringify(body),
     },
-    { signal: AbortSignal.timeout(PATIENCE) },
+    { signal: AbortSignal.timeout(REQUEST_TIMEOUT) },
   )
   const text = await readText(answer.body)
-  // A server error does not say whether the write took effect.
+  // An error status doesn't tell whether the write was applied.
   if (answer.status !== 200) throw new UpstreamFailure('maybe', `status ${answer.status}`)
   return JSON.parse(text)
 }
@@ -123,7 +123,7 @@
   path: string,
 ): Promise<T | undefined> {
   try {
-    const signal = AbortSignal.timeout(PATIENCE)
+    const signal = AbortSignal.timeout(REQUEST_TIMEOUT)
     const answer = await client.send(address, { method: 'GET', path, headers: {} }, { signal })
     const text = await readText(answer.body)
     return answer.status === 200 ? (JSON.parse(text) as T) : undefined
@@ -135,33 +135,37 @@
 function encodeTransaction({ conditions, writes }: StoreTransaction): object {
   return {
     compare: conditions.map(({ key, version }) => ({
-      key: encode(key),
+      key: encodeBase64(key),
       target: 'MOD',
       result: 'EQUAL',
       mod_revision: String(version),
     })),
     success: writes.map(({ key, value }) =>
       value === undefined
-        ? { request_delete_range: { key: encode(key) } }
-        : { request_put: { key: encode(key), value: encode(value) } },
+        ? { request_delete_range: { key: encodeBase64(key) } }
+        : { request_put: { key: encodeBase64(key), value: encodeBase64(value) } },
     ),
   }
 }
 
 function decodeRow(row: EncodedRow): StoreRow {
-  return { key: decode(row.key), value: decode(row.value), version: Number(row.mod_revision) }
+  return {
+    key: decodeBase64(row.key),
+    value: decodeBase64(row.value),
+    version: Number(row.mod_revision),
+  }
 }
 
-/** The first key after all that start with the prefix. */
+/** Exclusive end of the key range of a prefix. */
 function endOfPrefix(prefix: string): string {
   const last = prefix.charCodeAt(prefix.length - 1)
   return prefix.slice(0, -1) + String.fromCharCode(last + 1)
 }
 
-function encode(text: string): string {
+function encodeBase64(text: string): string {
   return Buffer.from(text).toString('base64')
 }
 
-function decode(text: string): string {
+function decodeBase64(text: string): string {
   return Buffer.from(text, 'base64').toString()
 }
--- a/packages/box/src/node/httpServer.ts
+++ b/packages/box/src/node/httpServer.ts
@@ -10,13 +10,18 @@
 import type { CallerRequest, Responder } from '../types/ports.js'
 
 export interface HttpServerOptions {
-  /** `host:port`; port 0 takes any free one. */
+  /** `host:port`; port 0 binds any free port. */
   listen: string
-  bodyBytes: number
-  headerMilliseconds: number
-  idleMilliseconds: number
+  /** A larger request body is refused with status 413. */
+  maxBodyBytes: number
+  /** Limit on receiving the headers of a request. Milliseconds. */
+  headerTimeout: number
+  /** Limit on receiving a whole request, and on an idle keep-alive connection. Milliseconds. */
+  idleTimeout: number
+  /** PEM texts. Plain HTTP without them. */
   tls?: { cert: string; key: string; ca: string }
   handle(request: CallerRequest, responder: Responder): Promise<void>
+  /** Called when `handle` rejects or the request can't be read. */
   onError(error: unknown): void
 }
 
@@ -26,20 +31,20 @@
   close(): Promise<void>
 }
 
-/** Serves a handler over HTTP/1.1 with bounds on what a client may take up. */
+/** Serves a handler over HTTP/1.1, with limits on body size and on slow or idle clients. */
 export async function startHttpServer(options: HttpServerOptions): Promise<HttpServer> {
   const listener: RequestListener = (message, response) => {
-    serve(message, response, options).catch((error: unknown) => {
+    handleMessage(message, response, options).catch((error: unknown) => {
       options.onError(error)
-      refuseAfterError(response)
+      sendInternalError(response)
     })
   }
   const server = options.tls
     ? createTlsServer({ ...options.tls, minVersion: 'TLSv1.2' }, listener)
     : createServer(listener)
-  server.headersTimeout = options.headerMilliseconds
-  server.requestTimeout = options.idleMilliseconds
-  server.keepAliveTimeout = options.idleMilliseconds
+  server.headersTimeout = options.headerTimeout
+  server.requestTimeout = options.idleTimeout
+  server.keepAliveTimeout = options.idleTimeout
   server.on('clientError', (_error, socket) => socket.destroy())
   const { host, port } = splitAddress(options.listen)
   await new Promise<void>((resolve, reject) => {
@@ -50,34 +55,34 @@
   return { address: `${host}:${bound.port}`, close: () => closeServer(server) }
 }
 
-/** Host and port of `host:port`; an IPv6 host may stand in brackets. */
+/** Splits `host:port`. The brackets of an IPv6 host are removed. */
 export function splitAddress(address: string): { host: string; port: number } {
   const at = address.lastIndexOf(':')
   return { host: address.slice(0, at).replace(/^\[|\]$/g, ''), port: Number(address.slice(at + 1)) }
 }
 
-async function serve(
+async function handleMessage(
   message: IncomingMessage,
   response: ServerResponse,
   options: HttpServerOptions,
 ): Promise<void> {
-  const hangUp = new AbortController()
+  const disconnect = new AbortController()
   response.once('close', () => {
-    if (!response.writableFinished) hangUp.abort()
+    if (!response.writableFinished) disconnect.abort()
   })
-  const body = await readBody(message, options.bodyBytes)
-  if (body === undefined) return refuseLargeBody(response, options.bodyBytes)
+  const body = await readBody(message, options.maxBodyBytes)
+  if (body === undefined) return refuseLargeBody(response, options.maxBodyBytes)
   const request: CallerRequest = {
     method: message.method ?? 'GET',
     path: message.url ?? '/',
     headers: message.headers as Record<string, string | undefined>,
     body,
-    signal: hangUp.signal,
+    signal: disconnect.signal,
   }
-  await options.handle(request, createResponder(response, hangUp.signal))
+  await options.handle(request, createResponder(response, disconnect.signal))
 }
 
-/** Undefined when the body is larger than allowed. */
+/** Reads the body; undefined if it is larger than `limit` bytes. */
 async function readBody(message: IncomingMessage, limit: number): Promise<string | undefined> {
   if (Number(message.headers['content-length'] ?? 0) > limit) return undefined
   if (message.method === 'GET' || message.method === 'HEAD') return ''
@@ -108,8 +113,8 @@
   response.end(JSON.stringify({ error }))
 }
 
-/** An error of the box itself: nobody can say how far the request got. */
-function refuseAfterError(response: ServerResponse): void {
+/** Answers after a failure of the box. The request may have reached an upstream. */
+function sendInternalError(response: ServerResponse): void {
   if (response.headersSent) {
     response.destroy()
     return
@@ -124,21 +129,21 @@
   )
 }
 
-function createResponder(response: ServerResponse, hangUp: AbortSignal): Responder {
+function createResponder(response: ServerResponse, disconnect: AbortSignal): Responder {
   return {
     start(status, headers) {
       if (!response.headersSent) response.writeHead(status, headers)
     },
     write(chunk) {
-      if (hangUp.aborted || response.write(chunk)) return undefined
-      // The caller reads slowly: nothing more is read from the upstream until it has caught up.
+      if (disconnect.aborted || response.write(chunk)) return undefined
+      // Back-pressure: pauses reading from the upstream until the caller's socket drains or closes.
       return new Promise(resolve => {
         response.once('drain', resolve)
-        hangUp.addEventListener('abort', () => resolve(), { once: true })
+        disconnect.addEventListener('abort', () => resolve(), { once: true })
       })
     },
     end(chunk) {
-      if (!hangUp.aborted) response.end(chunk)
+      if (!disconnect.aborted) response.end(chunk)
     },
   }
 }
--- a/packages/box/src/node/main.ts
+++ b/packages/box/src/node/main.ts
@@ -11,7 +11,7 @@
   settings: { type: 'positional', description: 'file of the settings, YAML', required: true },
 } as const
 
-/** Reads settings or ends the process with the places and the mends. */
+/** Loads a settings file, or prints every issue and exits. */
 function loadSettings(file: string): Settings {
   let text: string
   try {
@@ -30,12 +30,12 @@
   meta: { name: 'run', description: 'run a box until it is told to stop (SIGTERM)' },
   args: settingsArgument,
   async run({ args }) {
-    const running = await runBox(loadSettings(args.settings))
+    const runningBox = await runBox(loadSettings(args.settings))
     let isStopping = false
     const stop = () => {
       if (isStopping) return
       isStopping = true
-      void running.stop().then(() => process.exit(0))
+      void runningBox.stop().then(() => process.exit(0))
     }
     process.on('SIGTERM', stop)
     process.on('SIGINT', stop)
@@ -63,7 +63,7 @@
   subCommands: { run, check, reference },
 })
 
-/** Runs the command line of `yewkeel`. */
+/** Runs the `yewkeel` command. */
 export function runYewkeel(): void {
   void runMain(main)
 }
--- a/packages/box/src/node/observability.ts
+++ b/packages/box/src/node/observability.ts
@@ -13,13 +13,13 @@
 import type { Log, Metrics, Span, Tracer } from '../types/ports.js'
 import type { Settings } from '../types/settings.js'
 
-/** Logs as JSON lines on standard output. */
+/** Creates a logger that writes JSON lines to standard output. */
 export function createLog(settings: Pick<Settings, 'box' | 'dataCentre' | 'logLevel'>): Log {
   const { box, dataCentre, logLevel } = settings
   return bunyan.createLogger({ name: 'yewkeel', box, dataCentre, level: logLevel })
 }
 
-/** Metrics to a StatsD receiver. */
+/** Creates a StatsD client. Without `settings.metrics` it discards all metrics. */
 export function createMetrics(
   settings: Pick<Settings, 'metrics' | 'box'>,
 ): Metrics & { close(): void } {
@@ -38,40 +38,40 @@
   }
 }
 
-/** Traces to an OTLP receiver. Without one, no span is made. */
+/** Creates a tracer that exports to OTLP. Without `settings.traces` it creates no spans. */
 export function createTracer(
   settings: Pick<Settings, 'traces' | 'box'>,
 ): Tracer & { close(): Promise<void> } {
-  if (!settings.traces) return { start: () => NO_SPAN, close: () => Promise.resolve() }
+  if (!settings.traces) return { start: () => NOOP_SPAN, close: () => Promise.resolve() }
   const exporter = new OTLPTraceExporter({ url: settings.traces.url })
   return createTracerWith(new BatchSpanProcessor(exporter), settings.traces.sampled)
 }
 
-const NO_SPAN: Span = { traceparent: undefined, set: () => {}, end: () => {} }
+const NOOP_SPAN: Span = { traceparent: undefined, set: () => {}, end: () => {} }
 
-/** Traces through a given processor. */
+/** Creates a tracer that samples a fraction of the root spans; child spans follow their parent. */
 export function createTracerWith(
   processor: SpanProcessor,
-  sampled: number,
+  sampledFraction: number,
 ): Tracer & { close(): Promise<void> } {
   const provider = new BasicTracerProvider({
     spanProcessors: [processor],
-    sampler: new ParentBasedSampler({ root: new TraceIdRatioBasedSampler(sampled) }),
+    sampler: new ParentBasedSampler({ root: new TraceIdRatioBasedSampler(sampledFraction) }),
   })
   const tracer = provider.getTracer('yewkeel')
   const propagator = new W3CTraceContextPropagator()
-  const known = new WeakMap<Span, OtelSpan>()
+  const otelSpans = new WeakMap<Span, OtelSpan>()
 
   const parentContext = (parent: Span | string | undefined): Context => {
     if (typeof parent === 'string') return extract(propagator, parent)
-    const span = parent && known.get(parent)
+    const span = parent && otelSpans.get(parent)
     return span ? trace.setSpan(context.active(), span) : context.active()
   }
   return {
     start(name, parent) {
       const span = tracer.startSpan(name, {}, parentContext(parent))
       const wrapped = wrapSpan(span, propagator)
-      known.set(wrapped, span)
+      otelSpans.set(wrapped, span)
       return wrapped
     },
     close: () => provider.shutdown(),
--- a/packages/box/src/node/readSettings.ts
+++ b/packages/box/src/node/readSettings.ts
@@ -4,7 +4,7 @@
 import { z } from 'zod'
 import { settingsSchema, type Settings } from '../types/settings.js'
 
-/** Reads and checks settings written in YAML. */
+/** Parses and validates settings in YAML. Returns all issues if they are invalid. */
 export function parseSettings(text: string): Result<Settings, InputIssue[]> {
   let fields: unknown
   try {
@@ -16,7 +16,7 @@
   }
   const checked = settingsSchema.safeParse(fields)
   if (checked.success) return Result.ok(checked.data)
-  return Result.err(issuesFromSchema(checked.error, knownNames()))
+  return Result.err(issuesFromSchema(checked.error, settingNames()))
 }
 
 interface JsonSchema {
@@ -29,8 +29,9 @@
   required?: string[]
 }
 
-/** One setting for the reference. */
-export interface SettingLine {
+/** A row of the settings reference. */
+export interface SettingRow {
+  /** Dotted path, with `[]` after the name of a list. */
   path: string
   type: string
   required: boolean
@@ -38,18 +39,18 @@
   description: string
 }
 
-/** Every setting, in the order of the schema. */
-export function listSettings(): SettingLine[] {
+/** Lists every setting, in the order of the schema. */
+export function listSettings(): SettingRow[] {
   const schema = z.toJSONSchema(settingsSchema, { io: 'input' }) as JsonSchema
   return listProperties(schema, '')
 }
 
-/** The reference of settings in Markdown. */
+/** Formats the settings reference as a Markdown table. */
 export function formatSettingsReference(): string {
-  const rows = listSettings().map(line => {
-    const value = line.default === undefined ? '' : `\`${JSON.stringify(line.default)}\``
-    const need = line.required ? 'yes' : ''
-    return `| \`${line.path}\` | ${line.type} | ${need} | ${value} | ${line.description} |`
+  const rows = listSettings().map(row => {
+    const value = row.default === undefined ? '' : `\`${JSON.stringify(row.default)}\``
+    const required = row.required ? 'yes' : ''
+    return `| \`${row.path}\` | ${row.type} | ${required} | ${value} | ${row.description} |`
   })
   return [
     '| setting | type | required | default | what it is for |',
@@ -58,22 +59,22 @@
   ].join('\n')
 }
 
-function listProperties(schema: JsonSchema, prefix: string): SettingLine[] {
+function listProperties(schema: JsonSchema, prefix: string): SettingRow[] {
   return Object.entries(schema.properties ?? {}).flatMap(([name, property]) => {
     const path = prefix ? `${prefix}.${name}` : name
     const isList = property.type === 'array'
-    const inner = isList ? property.items : property
-    const line: SettingLine = {
+    const nested = isList ? property.items : property
+    const row: SettingRow = {
       path,
       type: property.enum ? property.enum.join(', ') : (property.type ?? 'value'),
       required: schema.required?.includes(name) ?? false,
       ...(property.default !== undefined && { default: property.default }),
       description: property.description ?? '',
     }
-    return [line, ...listProperties(inner ?? {}, isList ? `${path}[]` : path)]
+    return [row, ...listProperties(nested ?? {}, isList ? `${path}[]` : path)]
   })
 }
 
-function knownNames(): string[] {
-  return listSettings().map(line => line.path.split('.').at(-1) ?? line.path)
+function settingNames(): string[] {
+  return listSettings().map(row => row.path.split('.').at(-1) ?? row.path)
 }
--- a/packages/box/src/node/runBox.ts
+++ b/packages/box/src/node/runBox.ts
@@ -16,13 +16,13 @@
   entryAddress: string
   operatorsAddress: string
   peerAddress: string
-  /** A planned stop: nothing in flight is cut off. */
+  /** Drains: completes the requests in flight, then closes. */
   stop(): Promise<void>
-  /** Ends at once, without a word to anybody. */
+  /** Closes at once, without draining or notifying peers. */
   kill(): Promise<void>
 }
 
-/** Runs a box on real sockets. */
+/** Starts a box that listens on the addresses of its settings. */
 export async function runBox(
   settings: Settings,
   log: Log = createLog(settings),
@@ -32,17 +32,17 @@
   const tracer = createTracer(settings)
   const client = new HttpUpstreamClient()
   let handleCaller: Parameters<typeof startHttpServer>[0]['handle'] = () => Promise.resolve()
-  const entry = await startEntry(settings, log, (request, responder) =>
+  const entryServer = await startEntryServer(settings, log, (request, responder) =>
     handleCaller(request, responder),
   )
   const identity = {
     box: settings.box,
     incarnation: randomBytes(4).toString('hex'),
     dataCentre: settings.dataCentre,
-    entryAddress: settings.entry.announce ?? entry.address,
+    entryAddress: settings.entry.announce ?? entryServer.address,
     peerAddress: settings.peers.announce ?? settings.peers.listen,
   }
-  const peerTls = readCertificate(settings.peers.tls)
+  const peerTls = readTlsFiles(settings.peers.tls)
   const transport = new WsTransport({
     self: identity,
     listen: settings.peers.listen,
@@ -66,18 +66,18 @@
     tracer,
   })
   handleCaller = (request, responder) => box.handle(request, responder)
-  const operators = await startOperators(settings, log, box)
+  const operatorServer = await startOperatorServer(settings, log, box)
   await box.start()
   const close = async () => {
-    await Promise.all([entry.close(), operators.close(), transport.close()])
+    await Promise.all([entryServer.close(), operatorServer.close(), transport.close()])
     await client.close()
     await tracer.close()
     metrics.close()
   }
   return {
     box,
-    entryAddress: entry.address,
-    operatorsAddress: operators.address,
+    entryAddress: entryServer.address,
+    operatorsAddress: operatorServer.address,
     peerAddress,
     async stop() {
       await box.stop()
@@ -90,7 +90,7 @@
   }
 }
 
-function startEntry(
+function startEntryServer(
   settings: Settings,
   log: Log,
   handle: Parameters<typeof startHttpServer>[0]['handle'],
@@ -98,30 +98,30 @@
   const { limits } = settings
   return startHttpServer({
     listen: settings.entry.listen,
-    bodyBytes: limits.bodyBytes,
-    headerMilliseconds: limits.headerMilliseconds,
-    idleMilliseconds: limits.idleCallerMilliseconds,
+    maxBodyBytes: limits.bodyBytes,
+    headerTimeout: limits.headerMilliseconds,
+    idleTimeout: limits.idleCallerMilliseconds,
     handle,
-    onError: error => log.error({ error: String(error) }, 'a request of a caller failed'),
+    onError: error => log.error({ error: String(error) }, 'failed to handle a caller request'),
   })
 }
 
-const LARGEST_OPERATOR_BODY = 32 * 1024 * 1024
+const MAX_OPERATOR_BODY_BYTES = 32 * 1024 * 1024
 
-function startOperators(settings: Settings, log: Log, box: Box): Promise<HttpServer> {
-  const tls = readCertificate(settings.operators.tls)
+function startOperatorServer(settings: Settings, log: Log, box: Box): Promise<HttpServer> {
+  const tls = readTlsFiles(settings.operators.tls)
   return startHttpServer({
     listen: settings.operators.listen,
-    bodyBytes: LARGEST_OPERATOR_BODY,
-    headerMilliseconds: settings.limits.headerMilliseconds,
-    idleMilliseconds: settings.limits.idleCallerMilliseconds,
+    maxBodyBytes: MAX_OPERATOR_BODY_BYTES,
+    headerTimeout: settings.limits.headerMilliseconds,
+    idleTimeout: settings.limits.idleCallerMilliseconds,
     ...(tls && { tls }),
     handle: createOperatorHandler(box),
-    onError: error => log.error({ error: String(error) }, 'a request of an operator failed'),
+    onError: error => log.error({ error: String(error) }, 'failed to handle an operator request'),
   })
 }
 
-function readCertificate(files: CertificateFiles | undefined) {
+function readTlsFiles(files: CertificateFiles | undefined) {
   if (!files) return undefined
   return {
     cert: readFileSync(files.certificate, 'utf8'),
--- a/packages/box/src/node/upstreamClient.ts
+++ b/packages/box/src/node/upstreamClient.ts
@@ -10,13 +10,18 @@
   type UpstreamRequest,
 } from '../types/ports.js'
 
-const CONNECT_PATIENCE = 2_000
-const KEPT_ALIVE = 30_000
+const CONNECT_TIMEOUT = 2_000 // milliseconds
+const KEEP_ALIVE_TIMEOUT = 30_000 // milliseconds
 
-/** Errors that come before a byte of the request has left. */
-const NOT_SENT = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
+/** Codes of errors that occur before any byte of the request is sent. */
+const NOT_SENT_CODES = new Set([
+  'ECONNREFUSED',
+  'EHOSTUNREACH',
+  'ENETUNREACH',
+  'UND_ERR_CONNECT_TIMEOUT',
+])
 
-/** Speaks HTTP to upstreams, with a pool of kept connections for each. */
+/** HTTP/1.1 client with a pool of keep-alive connections for each address. */
 export class HttpUpstreamClient implements UpstreamClient {
   readonly #pools = new Map<string, Pool>()
 
@@ -31,9 +36,9 @@
         path: request.path,
         headers: request.headers,
         body: request.body ?? null,
-        // A request that may not run twice is never pipelined behind another and never sent again.
+        // Requests may be non-idempotent: undici must not pipeline or resend them.
         idempotent: false,
-        // 0 sets no limit.
+        // 0 disables the timeout.
         headersTimeout: Math.max(0, Math.ceil(answerWithin)),
         ...(signal && { signal }),
       })
@@ -41,10 +46,10 @@
         status: answer.statusCode,
         headers: answer.headers as Record<string, string>,
         body: answer.body,
-        pump: take => pumpStream(answer.body, take),
+        pump: onChunk => pumpStream(answer.body, onChunk),
       }
     } catch (error) {
-      throw new UpstreamFailure(sentOf(error), String(error), isLate(error))
+      throw new UpstreamFailure(sentStateOf(error), String(error), isHeadersTimeout(error))
     }
   }
 
@@ -53,11 +58,11 @@
   }
 
   #poolOf(address: string): Pool {
-    const known = this.#pools.get(address)
-    if (known) return known
+    const existing = this.#pools.get(address)
+    if (existing) return existing
     const created = new Pool(`http://${address}`, {
-      connect: { timeout: CONNECT_PATIENCE },
-      keepAliveTimeout: KEPT_ALIVE,
+      connect: { timeout: CONNECT_TIMEOUT },
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT,
       pipelining: 1,
       headersTimeout: 0,
       bodyTimeout: 0,
@@ -67,11 +72,11 @@
   }
 }
 
-/** Hands each chunk on as it comes, and stops reading while the taker is busy. */
-function pumpStream(body: Readable, take: (chunk: Uint8Array) => TakeOutcome): Promise<void> {
+/** Passes chunks to `onChunk`: a promise pauses the stream until it resolves, 'stop' destroys it. */
+function pumpStream(body: Readable, onChunk: (chunk: Uint8Array) => TakeOutcome): Promise<void> {
   return new Promise((resolve, reject) => {
     body.on('data', (chunk: Uint8Array) => {
-      const outcome = take(chunk)
+      const outcome = onChunk(chunk)
       if (outcome === undefined) return
       if (outcome === 'stop') {
         body.destroy()
@@ -87,11 +92,11 @@
   })
 }
 
-function isLate(error: unknown): boolean {
+function isHeadersTimeout(error: unknown): boolean {
   return (error as { code?: string }).code === 'UND_ERR_HEADERS_TIMEOUT'
 }
 
-function sentOf(error: unknown): Sent {
+function sentStateOf(error: unknown): Sent {
   const { code } = error as { code?: string }
-  return code !== undefined && NOT_SENT.has(code) ? 'no' : 'maybe'
+  return code !== undefined && NOT_SENT_CODES.has(code) ? 'no' : 'maybe'
 }
--- a/packages/box/src/node/wsTransport.ts
+++ b/packages/box/src/node/wsTransport.ts
@@ -14,67 +14,66 @@
   self: PeerIdentity
   /** `host:port`. */
   listen: string
-  /** Shared by all boxes. */
+  /** Shared by all boxes; authenticates a connecting peer. */
   secret: string
   tls?: { cert: string; key: string; ca: string }
   clock: Clock
   log: Log
-  /** A link with more than this waiting is broken off. Bytes. */
+  /** A link with more than this buffered for sending is closed. Bytes; 16 MiB by default. */
   largestBacklog?: number
-  /** Frames from this size on are compressed. Bytes; none are where it is left out. */
+  /** Minimum size of a frame to compress. Bytes; without it, frames aren't compressed. */
   compressFrom?: number
 }
 
-const LARGEST_MESSAGE = 64 * 1024 * 1024
-const REDIAL_AFTER: Milliseconds = 500
+const MAX_MESSAGE_BYTES = 64 * 1024 * 1024
+const RECONNECT_DELAY: Milliseconds = 500
 const SECRET_HEADER = 'yewkeel-peer'
 const IDENTITY_HEADER = 'yewkeel-identity'
-/** A link with more than this waiting is broken off: the peer reads no more. */
-const LARGEST_BACKLOG = 16 * 1024 * 1024
+const MAX_BACKLOG_BYTES = 16 * 1024 * 1024 // a peer this far behind isn't reading
 
 interface Link<Message> {
   socket: WebSocket
   peer?: PeerIdentity
-  /** Messages of this turn of the event loop; they go out in one frame. */
-  waiting: Message[]
+  /** Messages of this turn of the event loop, sent as one frame. */
+  queued: Message[]
 }
 
 /**
- * Links between boxes over WebSockets, one for each direction. A box sends on the links that it dialled and
- * hears on those that it accepted.
+ * Links between boxes over WebSockets, one for each direction: a box sends on the links that it
+ * opened and receives on those that it accepted. Both sides exchange identities when a link opens.
  */
 export class WsTransport<
   Message extends { type: string } = PeerMessage,
 > implements PeerTransport<Message> {
   readonly #packer = new Packr({ structuredClone: false })
   #packed: { message: Message; bytes: Buffer } | undefined
-  readonly #links = new Map<string, Link<Message>>()
-  readonly #byVoter = new Map<string, Link<Message>>()
-  #wanted = new Map<string, PeerAddress>()
+  readonly #linksByAddress = new Map<string, Link<Message>>()
+  readonly #linksByVoter = new Map<string, Link<Message>>()
+  #peers = new Map<string, PeerAddress>()
   #listener: PeerListener<Message> | undefined
   #server: ReturnType<typeof createServer> | undefined
-  #sockets: WebSocketServer | undefined
+  #webSocketServer: WebSocketServer | undefined
   #isClosed = false
 
   constructor(private readonly options: WsTransportOptions) {}
 
-  /** Starts to accept links. Gives the address as bound. */
+  /** Starts accepting links. Returns the bound `host:port`. Rejects if the address can't be bound. */
   async open(): Promise<string> {
     const { tls, listen } = this.options
     const server = tls
       ? createTlsServer({ ...tls, requestCert: true, rejectUnauthorized: true })
       : createServer()
     this.#server = server as ReturnType<typeof createServer>
-    this.#sockets = new WebSocketServer({
+    this.#webSocketServer = new WebSocketServer({
       noServer: true,
-      maxPayload: LARGEST_MESSAGE,
+      maxPayload: MAX_MESSAGE_BYTES,
       perMessageDeflate: this.#compression(),
     })
     server.on('upgrade', (request, socket, head) => {
-      if (!this.#isPeer(request.headers[SECRET_HEADER])) {
+      if (!this.#isSecretValid(request.headers[SECRET_HEADER])) {
         this.options.log.warn(
           { from: request.socket.remoteAddress },
-          "a link without the peers' secret was refused",
+          'refused a peer link with a missing or wrong secret',
         )
         socket.end('HTTP/1.1 401 Unauthorized\r\n\r\n')
         return
@@ -84,7 +83,9 @@
         socket.end('HTTP/1.1 400 Bad Request\r\n\r\n')
         return
       }
-      this.#sockets!.handleUpgrade(request, socket, head, link => this.#accept(link, identity))
+      this.#webSocketServer!.handleUpgrade(request, socket, head, link =>
+        this.#accept(link, identity),
+      )
     })
     const { host, port } = splitAddress(listen)
     await new Promise<void>((resolve, reject) => {
@@ -99,34 +100,34 @@
   }
 
   link(peers: readonly PeerAddress[]): void {
-    this.#wanted = new Map(peers.map(peer => [peer.address, peer]))
-    for (const [address, link] of this.#links) {
-      if (!this.#wanted.has(address)) link.socket.close()
+    this.#peers = new Map(peers.map(peer => [peer.address, peer]))
+    for (const [address, link] of this.#linksByAddress) {
+      if (!this.#peers.has(address)) link.socket.close()
     }
-    for (const address of this.#wanted.keys()) {
-      if (!this.#links.has(address)) this.#dial(address)
+    for (const address of this.#peers.keys()) {
+      if (!this.#linksByAddress.has(address)) this.#connect(address)
     }
   }
 
   send(to: string, message: Message): boolean {
-    const link = this.#byVoter.get(to)
+    const link = this.#linksByVoter.get(to)
     if (!link || link.socket.readyState !== WebSocket.OPEN) return false
-    if (link.socket.bufferedAmount > (this.options.largestBacklog ?? LARGEST_BACKLOG)) {
+    if (link.socket.bufferedAmount > (this.options.largestBacklog ?? MAX_BACKLOG_BYTES)) {
       link.socket.terminate()
       return false
     }
-    // Under load many messages fall into one turn, and a frame costs more than what is in it.
-    if (link.waiting.push(message) === 1) setImmediate(() => this.#flush(link))
+    // Batches the messages of this turn: the cost of a frame exceeds that of its messages.
+    if (link.queued.push(message) === 1) setImmediate(() => this.#flush(link))
     return true
   }
 
   #flush(link: Link<Message>): void {
-    const messages = link.waiting
-    link.waiting = []
+    const messages = link.queued
+    link.queued = []
     if (link.socket.readyState === WebSocket.OPEN) link.socket.send(this.#pack(messages))
   }
 
-  /** A message that goes to many boxes is packed once for all that are flushed in this turn. */
+  /** Packs messages as one frame; caches the frame of a broadcast message for this turn. */
   #pack(messages: Message[]): Buffer {
     if (messages.length !== 1) return this.#packer.pack(messages)
     const [message] = messages
@@ -139,15 +140,15 @@
 
   async close(): Promise<void> {
     this.#isClosed = true
-    for (const link of this.#links.values()) {
+    for (const link of this.#linksByAddress.values()) {
       this.#flush(link)
       link.socket.close()
     }
-    for (const socket of this.#sockets?.clients ?? []) socket.terminate()
+    for (const socket of this.#webSocketServer?.clients ?? []) socket.terminate()
     await new Promise(resolve => (this.#server ? this.#server.close(resolve) : resolve(undefined)))
   }
 
-  #dial(address: string): void {
+  #connect(address: string): void {
     const { self, secret, tls, clock } = this.options
     const socket = new WebSocket(`${tls ? 'wss' : 'ws'}://${address}`, {
       ...(tls && {
@@ -157,27 +158,27 @@
         checkServerIdentity: () => undefined,
       }),
       headers: { [SECRET_HEADER]: secret, [IDENTITY_HEADER]: JSON.stringify(self) },
-      maxPayload: LARGEST_MESSAGE,
+      maxPayload: MAX_MESSAGE_BYTES,
       perMessageDeflate: this.#compression(),
     })
-    const link: Link<Message> = { socket, waiting: [] }
-    this.#links.set(address, link)
-    // The accepting side says who it is in its first message.
-    socket.on('message', (bytes: Buffer) => this.#identify(link, bytes))
+    const link: Link<Message> = { socket, queued: [] }
+    this.#linksByAddress.set(address, link)
+    // The accepting side sends its identity as its first message.
+    socket.on('message', (bytes: Buffer) => this.#handleIdentity(link, bytes))
     socket.on('error', error =>
-      this.options.log.info({ address, error: error.message }, 'a link failed'),
+      this.options.log.info({ address, error: error.message }, 'peer link failed'),
     )
     socket.on('close', () => {
-      if (this.#links.get(address) === link) this.#links.delete(address)
-      if (link.peer) this.#forget(link)
-      clock.after(REDIAL_AFTER, () => {
-        if (!this.#isClosed && this.#wanted.has(address) && !this.#links.has(address))
-          this.#dial(address)
+      if (this.#linksByAddress.get(address) === link) this.#linksByAddress.delete(address)
+      if (link.peer) this.#removeLink(link)
+      clock.after(RECONNECT_DELAY, () => {
+        if (!this.#isClosed && this.#peers.has(address) && !this.#linksByAddress.has(address))
+          this.#connect(address)
       })
     })
   }
 
-  /** Each frame is compressed by itself, so that a link keeps no window in memory. */
+  /** Compresses each frame separately, so that a link keeps no compression window in memory. */
   #compression() {
     const { compressFrom } = this.options
     if (compressFrom === undefined) return false
@@ -188,17 +189,17 @@
     }
   }
 
-  #identify(link: Link<Message>, bytes: Buffer): void {
+  #handleIdentity(link: Link<Message>, bytes: Buffer): void {
     const identity = parseIdentity(bytes.toString())
     if (!identity || link.peer) return
     link.peer = identity
-    this.#byVoter.set(voterOf(identity), link)
+    this.#linksByVoter.set(voterOf(identity), link)
     this.#listener?.onConnected(identity)
   }
 
-  #forget(link: Link<Message>): void {
+  #removeLink(link: Link<Message>): void {
     const voter = voterOf(link.peer!)
-    if (this.#byVoter.get(voter) === link) this.#byVoter.delete(voter)
+    if (this.#linksByVoter.get(voter) === link) this.#linksByVoter.delete(voter)
   }
 
   #accept(socket: WebSocket, peer: PeerIdentity): void {
@@ -211,7 +212,7 @@
     })
   }
 
-  /** Undefined for a frame that is not a list of messages. */
+  /** Unpacks a frame; undefined if it isn't a list of messages. */
   #unpack(bytes: Buffer): Message[] | undefined {
     try {
       const messages = this.#packer.unpack(bytes) as Message[]
@@ -224,10 +225,10 @@
     }
   }
 
-  #isPeer(secret: string | string[] | undefined): boolean {
+  #isSecretValid(secret: string | string[] | undefined): boolean {
     if (typeof secret !== 'string') return false
-    const given = Buffer.from(hashKey(secret))
-    return timingSafeEqual(given, Buffer.from(hashKey(this.options.secret)))
+    const digest = Buffer.from(hashKey(secret))
+    return timingSafeEqual(digest, Buffer.from(hashKey(this.options.secret)))
   }
 }
 
@@ -236,8 +237,8 @@
   try {
     const identity = JSON.parse(text) as Partial<PeerIdentity>
     const { box, incarnation, dataCentre, entryAddress, peerAddress } = identity
-    const parts = [box, incarnation, dataCentre, entryAddress, peerAddress]
-    return parts.every(part => typeof part === 'string') ? (identity as PeerIdentity) : undefined
+    const fields = [box, incarnation, dataCentre, entryAddress, peerAddress]
+    return fields.every(field => typeof field === 'string') ? (identity as PeerIdentity) : undefined
   } catch {
     return undefined
   }
--- a/packages/box/test/fromOutside.test.ts
+++ b/packages/box/test/fromOutside.test.ts
@@ -22,45 +22,45 @@
 `
 
 describe('settings', () => {
-  it('are read with their defaults', () => {
+  it('get default values for absent fields', () => {
     const settings = parseSettings(SETTINGS)
     expect(settings.isOk && settings.value.limits.bodyBytes).to.equal(2_000_000)
   })
 
-  it('name the place and the nearest name of an unknown key', () => {
+  it('with an unknown key are rejected with its path and the nearest known key', () => {
     const settings = parseSettings(`${SETTINGS}limits: { bodyBites: 3 }\n`)
     expect(settings.isErr && settings.error.map(formatIssue)).to.deep.equal([
       'limits.bodyBites: unknown name "bodyBites"; did you mean "bodyBytes"?',
     ])
   })
 
-  it('name the line of a fault in the yaml', () => {
+  it('with a YAML syntax error are rejected with its line', () => {
     const settings = parseSettings('box: [\n')
     expect(settings.isErr && settings.error[0]!.place).to.match(/^line \d/)
   })
 
-  it('that are any text give settings or issues', () => {
+  it('from arbitrary text are rejected without a throw', () => {
     fc.assert(
       fc.property(fc.string(), text => parseSettings(text).isErr),
       { seed: 5, numRuns: 300 },
     )
   })
 
-  it('all stand in the printed reference', () => {
+  it('are listed in the reference with their full path', () => {
     expect(formatSettingsReference()).to.contain('`limits.firstTokenMilliseconds`')
   })
 })
 
-describe('completion bodies', () => {
-  it('with a fault name the field and the mend', () => {
+describe('completion request bodies', () => {
+  it('with an invalid message are rejected with its path and the expected shape', () => {
     const parsed = parseCompletion('{"model":"m","messages":[{"content":"x"}]}', {})
     expect(parsed.isErr && parsed.error.message).to.equal(
       'messages[0]: give an object with a role and a content',
     )
   })
 
-  it('that are any json give a completion or a refusal that says not-run', () => {
-    const anything = fc.oneof(
+  it('from arbitrary JSON or text are parsed or rejected with the verdict not-run', () => {
+    const bodies = fc.oneof(
       fc.json(),
       fc.string(),
       fc
@@ -71,7 +71,7 @@
         .map(body => JSON.stringify(body)),
     )
     fc.assert(
-      fc.property(anything, text => {
+      fc.property(bodies, text => {
         const parsed = parseCompletion(text, {})
         return parsed.isOk || parsed.error.verdict === 'not-run'
       }),
@@ -99,11 +99,11 @@
       .join(''),
   )
 
-  it('come out whole, however they are cut', async () => {
-    const cuts = fc.array(fc.nat(stream.length), { maxLength: 12 })
+  it('are split only between events, whatever the chunk boundaries', async () => {
+    const boundaries = fc.array(fc.nat(stream.length), { maxLength: 12 })
     await fc.assert(
-      fc.asyncProperty(cuts, async places => {
-        const sorted = [0, ...places.sort((left, right) => left - right), stream.length]
+      fc.asyncProperty(boundaries, async offsets => {
+        const sorted = [0, ...offsets.sort((left, right) => left - right), stream.length]
         const chunks = sorted.slice(1).map((end, index) => stream.subarray(sorted[index], end))
         const pieces = await collect(chunks)
         expect(Buffer.concat(pieces).equals(stream)).to.equal(true)
@@ -114,17 +114,17 @@
     )
   })
 
-  it('lose an event that never came whole', async () => {
+  it('drop an event that is incomplete at the end of the stream', async () => {
     const pieces = await collect([stream.subarray(0, stream.length - 3)])
     expect(lastEventId(Buffer.concat(pieces))).to.equal(2)
   })
 
-  it('say which model they come from', () => {
+  it('give the model that they name, or undefined without one', () => {
     expect(modelOf(stream)).to.equal('m@1')
     expect(modelOf('no model here')).to.equal(undefined)
   })
 
-  it('show the end and the usage, and keep an unasked usage event back', () => {
+  it('are split at the end marker, with the usage event only if the caller asked for it', () => {
     const usage = 'data: {"choices":[],"usage":{"prompt_tokens":4,"completion_tokens":3}}\n\n'
     const piece = Buffer.from(`${stream.toString()}${usage}data: [DONE]\n\n`)
     const end = splitEnd(piece, false)!
--- a/packages/box/test/httpServer.test.ts
+++ b/packages/box/test/httpServer.test.ts
@@ -3,23 +3,23 @@
 import { request } from 'undici'
 import { startHttpServer, type CallerRequest, type HttpServer, type Responder } from '@yewkeel/box'
 
-async function open(
+async function startServer(
   handle: (request: CallerRequest, responder: Responder) => Promise<void>,
 ): Promise<HttpServer> {
   return startHttpServer({
     listen: '127.0.0.1:0',
-    bodyBytes: 100,
-    headerMilliseconds: 10_000,
-    idleMilliseconds: 10_000,
+    maxBodyBytes: 100,
+    headerTimeout: 10_000,
+    idleTimeout: 10_000,
     handle,
     onError: () => {},
   })
 }
 
-describe('the entrance for callers', () => {
-  it('refuses a body that is too large, and says that nothing ran', async () => {
+describe('HTTP server', () => {
+  it('refuses a body over the limit with status 413 and the verdict not-run, without calling the handler', async () => {
     let handled = 0
-    const server = await open(async () => void handled++)
+    const server = await startServer(async () => void handled++)
     const answer = await request(`http://${server.address}/`, {
       method: 'POST',
       body: 'x'.repeat(101),
@@ -31,32 +31,32 @@
     await server.close()
   })
 
-  it('answers an error of its own with the verdict that the request may have run', async () => {
-    const server = await open(() => Promise.reject(new Error('a fault')))
+  it('answers status 500 with the verdict may-have-run when the handler rejects', async () => {
+    const server = await startServer(() => Promise.reject(new Error('a fault')))
     const answer = await request(`http://${server.address}/`)
     expect(answer.statusCode).to.equal(500)
     expect(await answer.body.text()).to.contain('"verdict":"may-have-run"')
     await server.close()
   })
 
-  it('tells the handler when the caller hangs up', async () => {
-    const server = await open(async ({ signal }, responder) => {
+  it('aborts the signal of the request when the caller disconnects', async () => {
+    const server = await startServer(async ({ signal }, responder) => {
       responder.start(200, {})
       await responder.write('begun')
       await new Promise<void>(resolve => signal.addEventListener('abort', () => resolve()))
-      hungUp()
+      resolveAborted()
     })
-    let hungUp: () => void = () => {}
-    const noticed = new Promise<void>(resolve => (hungUp = resolve))
+    let resolveAborted: () => void = () => {}
+    const aborted = new Promise<void>(resolve => (resolveAborted = resolve))
     const answer = await request(`http://${server.address}/`)
     answer.body.destroy()
     answer.body.on('error', () => {})
-    await noticed
+    await aborted
     await server.close()
   })
 
-  it('goes on serving after a connection that sends no http', async () => {
-    const server = await open(async (_request, responder) => {
+  it('keeps serving after a connection sends invalid HTTP', async () => {
+    const server = await startServer(async (_request, responder) => {
       responder.start(200, {})
       responder.end('well')
     })
--- a/packages/box/test/tls.test.ts
+++ b/packages/box/test/tls.test.ts
@@ -15,7 +15,7 @@
 
 x509.cryptoProvider.set(webcrypto as never)
 
-function period() {
+function validity() {
   const now = createSystemClock().wallTime()
   return { notBefore: new Date(now - DAY), notAfter: new Date(now + DAY) }
 }
@@ -28,7 +28,7 @@
   const certificate = await x509.X509CertificateGenerator.createSelfSigned({
     serialNumber: '01',
     name: `CN=${name}`,
-    ...period(),
+    ...validity(),
     signingAlgorithm: ALGORITHM,
     keys,
     extensions: [new x509.BasicConstraintsExtension(true, 1, true)],
@@ -36,7 +36,7 @@
   return { certificate, keys }
 }
 
-/** TLS settings of a box whose certificate comes from `issuer` and who trusts `trusted`. */
+/** TLS options of a box with a certificate of `issuer` that trusts certificates of `trusted`. */
 async function createTls(issuer: Authority, trusted: Authority) {
   const keys = (await webcrypto.subtle.generateKey(ALGORITHM, true, [
     'sign',
@@ -46,7 +46,7 @@
     serialNumber: '02',
     subject: 'CN=box',
     issuer: issuer.certificate.subject,
-    ...period(),
+    ...validity(),
     signingAlgorithm: ALGORITHM,
     publicKey: keys.publicKey,
     signingKey: issuer.keys.privateKey,
@@ -59,10 +59,10 @@
   }
 }
 
-async function open(
+async function openTransport(
   box: string,
   tls: { cert: string; key: string; ca: string },
-  warnings: string[] = [],
+  logLines: string[] = [],
 ) {
   const self: PeerIdentity = {
     box,
@@ -73,7 +73,7 @@
   }
   const log = {
     ...SILENT_LOG,
-    info: (fields: object) => void warnings.push(JSON.stringify(fields)),
+    info: (fields: object) => void logLines.push(JSON.stringify(fields)),
   }
   const transport = new WsTransport({
     self,
@@ -87,12 +87,12 @@
   return { transport, address: self.peerAddress }
 }
 
-describe('links between boxes with tls', () => {
-  it('are made when both certificates come from the same authority', async () => {
+describe('peer links over TLS', () => {
+  it('connect when one authority issued both certificates', async () => {
     const authority = await createAuthority('boxes')
     const [a, b] = [
-      await open('a', await createTls(authority, authority)),
-      await open('b', await createTls(authority, authority)),
+      await openTransport('a', await createTls(authority, authority)),
+      await openTransport('b', await createTls(authority, authority)),
     ]
     const connected = new Promise<string>(resolve =>
       a.transport.listen({ onMessage: () => {}, onConnected: peer => resolve(peer.box) }),
@@ -102,21 +102,21 @@
     await Promise.all([a.transport.close(), b.transport.close()])
   })
 
-  it('are refused for a certificate of another authority, and the log says so', async () => {
-    const [own, other] = [await createAuthority('boxes'), await createAuthority('others')]
-    const b = await open('b', await createTls(own, own))
+  it('fail with a log line when another authority issued the certificate of the connecting box', async () => {
+    const [trusted, untrusted] = [await createAuthority('boxes'), await createAuthority('others')]
+    const b = await openTransport('b', await createTls(trusted, trusted))
     const failed = new Promise<string>(resolve => {
-      const warnings = { push: (text: string) => resolve(text) } as unknown as string[]
-      void createTls(other, own)
-        .then(tls => open('a', tls, warnings))
+      const logLines = { push: (text: string) => resolve(text) } as unknown as string[]
+      void createTls(untrusted, trusted)
+        .then(tls => openTransport('a', tls, logLines))
         .then(a => {
           a.transport.listen({ onMessage: () => {}, onConnected: () => resolve('connected') })
           a.transport.link([{ address: b.address }])
-          opened = a
+          rejectedBox = a
         })
     })
-    let opened: Awaited<ReturnType<typeof open>> | undefined
+    let rejectedBox: Awaited<ReturnType<typeof openTransport>> | undefined
     expect(await failed).not.to.equal('connected')
-    await Promise.all([opened!.transport.close(), b.transport.close()])
+    await Promise.all([rejectedBox!.transport.close(), b.transport.close()])
   })
 })
--- a/packages/box/test/wsTransport.test.ts
+++ b/packages/box/test/wsTransport.test.ts
@@ -5,7 +5,7 @@
 
 const SECRET = 'a secret of some length'
 
-async function open(box: string, secret = SECRET) {
+async function openTransport(box: string, secret = SECRET) {
   const self: PeerIdentity = {
     box,
     incarnation: '1',
@@ -24,18 +24,18 @@
   return { transport, address: self.peerAddress }
 }
 
-describe('links between boxes', () => {
-  it('carry messages in order, with the sender they came from', async () => {
-    const [a, b] = [await open('a'), await open('b')]
-    const heard: string[] = []
-    const all = new Promise<void>(resolve => {
+describe('peer links', () => {
+  it('deliver messages in order, with the identity of the sender', async () => {
+    const [a, b] = [await openTransport('a'), await openTransport('b')]
+    const received: string[] = []
+    const allReceived = new Promise<void>(resolve => {
       b.transport.listen({
         onConnected: () => {},
         onMessage(from, message) {
-          heard.push(
+          received.push(
             `${from.box}: ${(message as Extract<PeerMessage, { type: 'announcement-heard' }>).id}`,
           )
-          if (heard.length === 3) resolve()
+          if (received.length === 3) resolve()
         },
       })
     })
@@ -47,21 +47,21 @@
       },
     })
     a.transport.link([{ address: b.address }])
-    await all
-    expect(heard).to.deep.equal(['a: 1', 'a: 2', 'a: 3'])
+    await allReceived
+    expect(received).to.deep.equal(['a: 1', 'a: 2', 'a: 3'])
     await Promise.all([a.transport.close(), b.transport.close()])
   })
 
-  it('refuse a box that does not know the secret', async () => {
-    const { transport, address } = await open('a')
+  it('are refused with status 401 for a wrong secret', async () => {
+    const { transport, address } = await openTransport('a')
     const socket = new WebSocket(`ws://${address}`, { headers: { 'yewkeel-peer': 'wrong' } })
     const error = await new Promise<Error>(resolve => socket.once('error', resolve))
     expect(error.message).to.contain('401')
     await transport.close()
   })
 
-  it('break off a link that sends what is no message', async () => {
-    const { transport, address } = await open('a')
+  it('are closed when the peer sends a frame that cannot be unpacked', async () => {
+    const { transport, address } = await openTransport('a')
     transport.listen({ onMessage: () => {}, onConnected: () => {} })
     const identity = {
       box: 'x',
