--- a/packages/ctl/src/node/main.ts
+++ b/packages/ctl/src/node/main.ts
@@ -4,8 +4,8 @@
 import { defineCommand, runMain } from 'citty'
 import { EXIT_CODES } from '../utils/exitCodes.js'
 import { formatRecords } from '../utils/formatTable.js'
-import { formatOf, writeTable } from '../utils/writeTable.js'
-import { askBoxes, type OperatorAnswer } from './operatorClient.js'
+import { tableFormatOf, writeTable } from '../utils/writeTable.js'
+import { requestFromBoxes, type OperatorAnswer } from './operatorClient.js'
 
 const CONNECTION = {
   boxes: {
@@ -24,7 +24,7 @@
   json: boolean
 }
 
-const EXIT_OF_OUTCOME: Record<string, number> = {
+const EXIT_CODE_BY_OUTCOME: Record<string, number> = {
   accepted: EXIT_CODES.ok,
   'dry-run': EXIT_CODES.ok,
   conflict: EXIT_CODES.conflict,
@@ -32,13 +32,13 @@
   refused: EXIT_CODES.refused,
 }
 
-function end(code: number, message?: string): never {
+function exitWith(code: number, message?: string): never {
   if (message) console.error(message)
   process.exit(code)
 }
 
-/** Asks a box, or ends the program and says why it could not. */
-async function ask(
+/** Sends a request to the boxes, or prints why it can't and exits. */
+async function requestOrExit(
   args: ConnectionArguments,
   method: 'GET' | 'POST',
   path: string,
@@ -46,31 +46,36 @@
 ): Promise<OperatorAnswer> {
   const boxes = args.boxes ?? process.env.YEWKEEL_BOXES
   const key = args.key ?? process.env.YEWKEEL_KEY
-  if (!boxes) end(EXIT_CODES.badInput, 'name a box: --boxes host:port, or set YEWKEEL_BOXES')
-  if (!key) end(EXIT_CODES.badInput, 'give a key: --key KEY, or set YEWKEEL_KEY')
-  const answer = await askBoxes({ boxes, key, authority: args.authority }, method, path, body)
-  if (answer.isErr) end(EXIT_CODES.unreachable, answer.error)
+  if (!boxes) exitWith(EXIT_CODES.badInput, 'name a box: --boxes host:port, or set YEWKEEL_BOXES')
+  if (!key) exitWith(EXIT_CODES.badInput, 'give a key: --key KEY, or set YEWKEEL_KEY')
+  const answer = await requestFromBoxes(
+    { boxes, key, authority: args.authority },
+    method,
+    path,
+    body,
+  )
+  if (answer.isErr) exitWith(EXIT_CODES.unreachable, answer.error)
   return answer.value
 }
 
-/** Prints an answer and ends with its code. */
-function finish(args: ConnectionArguments, answer: OperatorAnswer, print: () => void): void {
+/** Prints an answer, as JSON or by `print`, and sets the exit code by its outcome. */
+function printAnswer(args: ConnectionArguments, answer: OperatorAnswer, print: () => void): void {
   if (args.json) console.log(JSON.stringify(answer.body))
   else if (answer.status < 400) print()
-  else printFault(answer.body)
+  else printError(answer.body)
   const outcome = answer.body.outcome
-  const isKnown = typeof outcome === 'string' && outcome in EXIT_OF_OUTCOME
-  process.exitCode = isKnown
-    ? EXIT_OF_OUTCOME[outcome]!
+  const hasExitCode = typeof outcome === 'string' && outcome in EXIT_CODE_BY_OUTCOME
+  process.exitCode = hasExitCode
+    ? EXIT_CODE_BY_OUTCOME[outcome]!
     : answer.status < 400
       ? EXIT_CODES.ok
       : EXIT_CODES.refused
 }
 
-function printFault(body: Record<string, unknown>): void {
+function printError(body: Record<string, unknown>): void {
   const { issues, message, outcome, overlap, revision, error } = body
-  const text = message ?? (error as { message?: string } | undefined)?.message ?? outcome
-  console.error(String(text))
+  const summary = message ?? (error as { message?: string } | undefined)?.message ?? outcome
+  console.error(String(summary))
   for (const issue of (issues ?? []) as InputIssue[]) console.error(formatIssue(issue))
   if (outcome === 'conflict') {
     const rows = (overlap as string[]).join(', ') || 'the table'
@@ -85,11 +90,11 @@
   try {
     text = readFileSync(file, 'utf8')
   } catch (error) {
-    return end(EXIT_CODES.badInput, `${file}: ${(error as Error).message}`)
+    return exitWith(EXIT_CODES.badInput, `${file}: ${(error as Error).message}`)
   }
-  const rows = parseTable(text, formatOf(file))
+  const rows = parseTable(text, tableFormatOf(file))
   if (rows.isOk) return rows.value
-  return end(
+  return exitWith(
     EXIT_CODES.badInput,
     rows.error.map(issue => `${file}, ${formatIssue(issue)}`).join('\n'),
   )
@@ -105,10 +110,10 @@
   meta: { name: 'get', description: 'print the table, or write it to a file' },
   args: { ...CONNECTION, out: { type: 'string', description: 'file to write, .yaml or .csv' } },
   async run({ args }) {
-    const answer = await ask(args, 'GET', '/table')
+    const answer = await requestOrExit(args, 'GET', '/table')
     const { revision, rows } = answer.body as { revision: number; rows: TableRow[] }
-    finish(args, answer, () => {
-      if (args.out) writeFileSync(args.out, writeTable(rows, formatOf(args.out)))
+    printAnswer(args, answer, () => {
+      if (args.out) writeFileSync(args.out, writeTable(rows, tableFormatOf(args.out)))
       else console.log(formatRecords(rows))
       console.log(`revision ${revision}`)
     })
@@ -124,18 +129,23 @@
   },
 })
 
-/** Submits a file as the whole table that is wanted. */
+/** Submits a file as the whole new table. */
 async function submit(
   args: ConnectionArguments & { file: string; base?: string | undefined; id?: string | undefined },
   dryRun: boolean,
 ) {
   const rows = readTableFile(args.file)
-  const current = await ask(args, 'GET', '/table')
+  const current = await requestOrExit(args, 'GET', '/table')
   const baseRevision =
     args.base === undefined ? (current.body.revision as number) : Number(args.base)
   const changeId = args.id ?? randomUUID()
   if (!dryRun) console.error(`change ${changeId}, made against revision ${baseRevision}`)
-  const answer = await ask(args, 'POST', '/table/changes', { changeId, baseRevision, rows, dryRun })
+  const answer = await requestOrExit(args, 'POST', '/table/changes', {
+    changeId,
+    baseRevision,
+    rows,
+    dryRun,
+  })
   const {
     upserts = [],
     removals = [],
@@ -147,7 +157,7 @@
     outcome: string
     revision: number
   }
-  finish(args, answer, () => {
+  printAnswer(args, answer, () => {
     console.log(`rows to write:\n${formatRecords(upserts)}`)
     console.log(`rows to remove: ${removals.join(', ') || '(none)'}`)
     console.log(`${outcome}, revision ${revision}`)
@@ -186,35 +196,46 @@
     id: { type: 'positional', description: 'id of the change', required: true },
   },
   async run({ args }) {
-    const answer = await ask(args, 'GET', `/table/changes?changeId=${encodeURIComponent(args.id)}`)
-    finish(args, answer, () => console.log(formatRecords([answer.body])))
+    const answer = await requestOrExit(
+      args,
+      'GET',
+      `/table/changes?changeId=${encodeURIComponent(args.id)}`,
+    )
+    printAnswer(args, answer, () => console.log(formatRecords([answer.body])))
   },
 })
 
-/** A command that asks one question and prints parts of the answer as tables. */
-function question(name: string, description: string, path: string, parts: readonly string[]) {
+/** Defines a command that sends a GET and prints each of `tableFields` as a separate table. */
+function queryCommand(
+  name: string,
+  description: string,
+  path: string,
+  tableFields: readonly string[],
+) {
   return defineCommand({
     meta: { name, description },
     args: CONNECTION,
     async run({ args }) {
-      const answer = await ask(args, 'GET', path)
-      finish(args, answer, () => printParts(answer.body, parts))
+      const answer = await requestOrExit(args, 'GET', path)
+      printAnswer(args, answer, () => printFields(answer.body, tableFields))
     },
   })
 }
 
-function printParts(body: Record<string, unknown>, parts: readonly string[]): void {
-  const rest = Object.fromEntries(Object.entries(body).filter(([field]) => !parts.includes(field)))
+function printFields(body: Record<string, unknown>, tableFields: readonly string[]): void {
+  const rest = Object.fromEntries(
+    Object.entries(body).filter(([field]) => !tableFields.includes(field)),
+  )
   if (Object.keys(rest).length > 0) console.log(formatRecords([rest]))
-  for (const part of parts) {
-    const value = body[part]
+  for (const field of tableFields) {
+    const value = body[field]
     const records = Array.isArray(value)
       ? (value as object[])
       : Object.entries((value ?? {}) as Record<string, object>).map(([key, fields]) => ({
           name: key,
           ...fields,
         }))
-    console.log(`${part}\n${formatRecords(records)}`)
+    console.log(`${field}\n${formatRecords(records)}`)
   }
 }
 
@@ -232,8 +253,8 @@
   },
   async run({ args }) {
     const { organisation, kind, model } = args
-    const answer = await ask(args, 'POST', '/explain', { organisation, kind, model })
-    finish(args, answer, () => {
+    const answer = await requestOrExit(args, 'POST', '/explain', { organisation, kind, model })
+    printAnswer(args, answer, () => {
       const { stages, ...rest } = answer.body as { stages: { model: string; versions: object[] }[] }
       console.log(formatRecords([rest]))
       for (const stage of stages)
@@ -242,7 +263,7 @@
   },
 })
 
-/** A command that changes the halt of a version. */
+/** Defines a command that sets or lifts the halt of a version. */
 function haltCommand(name: string, description: string, path: string) {
   return defineCommand({
     meta: { name, description },
@@ -251,8 +272,8 @@
       version: { type: 'positional', description: 'model@version', required: true },
     },
     async run({ args }) {
-      const answer = await ask(args, 'POST', path, { version: args.version })
-      finish(args, answer, () => console.log(formatRecords([answer.body])))
+      const answer = await requestOrExit(args, 'POST', path, { version: args.version })
+      printAnswer(args, answer, () => console.log(formatRecords([answer.body])))
     },
   })
 }
@@ -262,8 +283,10 @@
     meta: { name, description },
     args: CONNECTION,
     async run({ args }) {
-      const answer = await ask(args, 'POST', '/placement', { paused })
-      finish(args, answer, () => console.log(paused ? 'placement is paused' : 'placement goes on'))
+      const answer = await requestOrExit(args, 'POST', '/placement', { paused })
+      printAnswer(args, answer, () =>
+        console.log(paused ? 'placement is paused' : 'placement goes on'),
+      )
     },
   })
 }
@@ -284,17 +307,17 @@
     diff,
     apply,
     change,
-    history: question('history', 'show the last changes', '/table/history', ['changes']),
-    status: question('status', 'show the box, its peers and the upstreams', '/status', [
+    history: queryCommand('history', 'show the last changes', '/table/history', ['changes']),
+    status: queryCommand('status', 'show the box, its peers and the upstreams', '/status', [
       'boxes',
       'upstreams',
     ]),
-    rollouts: question('rollouts', 'show versions, evidence, halts and loads', '/rollouts', [
+    rollouts: queryCommand('rollouts', 'show versions, evidence, halts and loads', '/rollouts', [
       'versions',
       'halts',
       'nextSteps',
     ]),
-    spend: question('spend', 'show what organisations spent', '/spend', [
+    spend: queryCommand('spend', 'show what organisations spent', '/spend', [
       'organisations',
       'billed',
     ]),
@@ -307,7 +330,7 @@
   },
 })
 
-/** Runs the command line of `yewkeelctl`. */
+/** Runs the `yewkeelctl` command. */
 export function runYewkeelctl(): void {
   void runMain(main)
 }
--- a/packages/ctl/src/node/operatorClient.ts
+++ b/packages/ctl/src/node/operatorClient.ts
@@ -2,12 +2,13 @@
 import { Result } from 'true-myth'
 import { Agent, request, type Dispatcher } from 'undici'
 
-/** How to reach the operators' entrance of a box. */
+/** Connection to the operator API of the boxes. */
 export interface ClientOptions {
-  /** `host:port`, or several with commas; the first that answers is used. */
+  /** Comma-separated `host:port` list, tried in order until one answers. */
   boxes: string
+  /** The operator's bearer token. */
   key: string
-  /** File of the authority that the boxes' certificates are checked by. Plain HTTP without it. */
+  /** PEM file of the certificate authority of the boxes. Plain HTTP without it. */
   authority?: string | undefined
 }
 
@@ -16,27 +17,27 @@
   body: Record<string, unknown>
 }
 
-/** Asks the first box that answers. An error says why none did. */
-export async function askBoxes(
+/** Returns the answer of the first box that answers, or the failure of each box that was tried. */
+export async function requestFromBoxes(
   options: ClientOptions,
   method: Dispatcher.HttpMethod,
   path: string,
   body?: object,
 ): Promise<Result<OperatorAnswer, string>> {
-  const faults: string[] = []
+  const failures: string[] = []
   for (const address of options.boxes.split(',')) {
     try {
-      return Result.ok(await askBox(options, address, method, path, body))
+      return Result.ok(await requestFromBox(options, address, method, path, body))
     } catch (error) {
-      faults.push(`${address}: ${(error as Error).message}`)
-      // A change may have been taken although its answer was lost: it is not sent to another box by itself.
+      failures.push(`${address}: ${(error as Error).message}`)
+      // The box may have applied the change and failed to answer: don't send it to another box.
       if (method !== 'GET' && (error as { code?: string }).code !== 'ECONNREFUSED') break
     }
   }
-  return Result.err(`no box answered: ${faults.join('; ')}`)
+  return Result.err(`no box answered: ${failures.join('; ')}`)
 }
 
-async function askBox(
+async function requestFromBox(
   { key, authority }: ClientOptions,
   address: string,
   method: Dispatcher.HttpMethod,
--- a/packages/ctl/src/utils/exitCodes.ts
+++ b/packages/ctl/src/utils/exitCodes.ts
@@ -1,13 +1,13 @@
-/** Exit codes of `yewkeelctl`, by what stands behind them. */
+/** Exit codes of `yewkeelctl`. */
 export const EXIT_CODES = {
   ok: 0,
-  /** The system refused, or what was asked for is not so. */
+  /** The box answered with an error, or refused the change. */
   refused: 1,
-  /** The words of the command, or the file, are wrong; nothing was sent. */
+  /** Invalid arguments or file. Nothing was sent. */
   badInput: 2,
-  /** Another change went before; read the table again. */
+  /** The table changed after the base revision. Get it again and repeat. */
   conflict: 3,
-  /** Not known yet: ask again with the change's id. */
+  /** The outcome isn't known yet. Query it with the change's id. */
   pending: 4,
   /** No box answered. */
   unreachable: 5,
--- a/packages/ctl/src/utils/formatTable.ts
+++ b/packages/ctl/src/utils/formatTable.ts
@@ -1,6 +1,6 @@
 import Table from 'cli-table3'
 
-/** Records as a table for people; the columns are the names of all their fields. */
+/** Formats records as a text table. The columns default to all fields of the records. */
 export function formatRecords(records: readonly object[], columns?: readonly string[]): string {
   if (records.length === 0) return '(none)'
   const head = columns ?? [...new Set(records.flatMap(record => Object.keys(record)))]
--- a/packages/ctl/src/utils/writeTable.ts
+++ b/packages/ctl/src/utils/writeTable.ts
@@ -7,12 +7,12 @@
   csv: rows => stringifyCsv([...rows], { header: true, columns: [...TABLE_COLUMNS] }),
 }
 
-/** The table as a file that `parseTable` reads back. */
+/** Serialises rows to the text of a file that `parseTable` reads. */
 export function writeTable(rows: readonly TableRow[], format: TableFormat): string {
   return WRITERS[format](rows)
 }
 
-/** The format of a file, by its ending. */
-export function formatOf(file: string): TableFormat {
+/** Format of a file by its extension: CSV for `.csv`, else YAML. */
+export function tableFormatOf(file: string): TableFormat {
   return file.endsWith('.csv') ? 'csv' : 'yaml'
 }
