--- a/packages/soak/src/checks/allowances.ts
+++ b/packages/soak/src/checks/allowances.ts
@@ -1,13 +1,15 @@
 import type { DeploymentBounds } from '@yewkeel/platform/stand-ins'
 import type { Evidence } from './evidence.js'
-import type { Instant } from './seen.js'
+import type { Milliseconds } from './seen.js'
 
-/** A fault may still be felt for this long after its end. Some time limits of a box, one after the other. */
-export const AFTERMATH: Instant = 4_000
-/** Real processes on a busy machine are late by this now and then. */
-export const LATENESS: Instant = 700
-/** Faults of upstreams and callers' links keep no box from holding to a verdict. */
-export const STRIKES_BOXES = (kind: string) =>
-  !kind.startsWith('upstream') && kind !== 'caller-link'
-/** Gives details of where a promise was not kept. */
-export type PromiseCheck = (evidence: Evidence, bounds: DeploymentBounds) => string[]
+/** Time for a box to recover after a fault: longer than several of its timeouts in sequence. */
+export const FAULT_SETTLE_DURATION: Milliseconds = 4_000
+/** Added to a deadline for scheduling delays on a busy machine. */
+export const SCHEDULING_TOLERANCE: Milliseconds = 700
+/**
+ * Whether a kind of fault can keep a box from acting on a decision. Faults of upstreams and of
+ * callers' links can't.
+ */
+export const affectsBoxes = (kind: string) => !kind.startsWith('upstream') && kind !== 'caller-link'
+/** Returns one message for each violation of a guarantee. */
+export type GuaranteeCheck = (evidence: Evidence, bounds: DeploymentBounds) => string[]
--- a/packages/soak/src/checks/evidence.ts
+++ b/packages/soak/src/checks/evidence.ts
@@ -1,113 +1,113 @@
 import type { UpstreamWords } from '@yewkeel/platform/stand-ins'
-import type { Attempt, FaultSpan, Instant, Run } from './seen.js'
+import type { Attempt, Execution, FaultSpan, Milliseconds } from './seen.js'
 
-/** A change that the operators made, and when the store took it. */
-export interface KeyChange {
+/** An API key that operators revoked. `revokedAt`: when the store accepted the change. */
+export interface KeyRevocation {
   key: string
-  takenAwayAt: Instant
+  revokedAt: Milliseconds
 }
 
-/** From `at` on, calls go to this service. */
+/** Operators routed calls from `previousService` to `service`. */
 export interface RouteMove {
   service: string
-  before: string
-  at: Instant
+  previousService: string
+  at: Milliseconds
 }
 
-/** An upstream said that it leaves, or its entry went. */
-export interface Leaving {
+/** An upstream announced in its row of the store that it drains. */
+export interface Drain {
   instance: string
-  at: Instant
+  at: Milliseconds
 }
 
-/** A request reached a service. */
+/** An attempt that reached an upstream, whether executed or not. */
 export interface Arrival {
+  /** The attempt's. */
   id: string
   service: string
   version: string
   instance: string
-  at: Instant
+  at: Milliseconds
 }
 
-/** An upstream says something of itself in all its answers. */
+/** An upstream sends this statement (limit, back-off or drain) with all its answers. */
 export interface StatementSpan {
   instance: string
-  words: UpstreamWords
-  from: Instant
-  until: Instant
+  content: UpstreamWords
+  from: Milliseconds
+  until: Milliseconds
 }
 
-/** An answer of an upstream that says something of itself. */
-export interface SaidAnswer {
+/** An answer of an upstream that carried a statement. */
+export interface StatementAnswer {
   instance: string
-  /** Of the attempt that it answers. */
+  /** The answered attempt's. */
   id: string
-  words: UpstreamWords
-  at: Instant
+  content: UpstreamWords
+  at: Milliseconds
 }
 
-/** An order to move a service to another version, and what came of it. */
-export interface SeenRollout {
+/** A rollout of a version to a service, and its outcome. */
+export interface ObservedRollout {
   service: string
   target: string
   isBad: boolean
-  orderedAt: Instant
-  endsAt: Instant
-  /** When the target began flawed answers. */
-  flawedAt: Instant[]
-  /** As the boxes wrote it: `completed` or `rolled_back`. */
+  orderedAt: Milliseconds
+  endsAt: Milliseconds
+  /** When the target began each of its bad answers. */
+  flawedAt: Milliseconds[]
+  /** The final state that the boxes stored: `completed` or `rolled_back`. */
   endState?: string
 }
 
-/** All that a run of the soak saw. */
+/** Everything observed during the run of a seed. The checks read nothing else. */
 export class Evidence {
   readonly attempts = new Map<string, Attempt>()
-  readonly runs = new Map<string, Run[]>()
-  /** Requests that reached a service, whether they ran or not. */
+  readonly executions = new Map<string, Execution[]>()
   readonly arrivals: Arrival[] = []
-  /** The roll-out that the run had, if any. */
-  rollout: SeenRollout | undefined
-  readonly keyChanges: KeyChange[] = []
+  /** Undefined if the seed has no rollout. */
+  rollout: ObservedRollout | undefined
+  readonly keyRevocations: KeyRevocation[] = []
   readonly routeMoves: RouteMove[] = []
-  readonly leavings: Leaving[] = []
+  readonly drains: Drain[] = []
   readonly faults: FaultSpan[] = []
-  readonly statements: StatementSpan[] = []
-  readonly said: SaidAnswer[] = []
-  /** Of the request that ends each upstream that runs it. */
-  readonly killers = {
-    /** Where each of its attempts went. */
+  readonly statementSpans: StatementSpan[] = []
+  readonly statementAnswers: StatementAnswer[] = []
+  /** Attempts that crash every upstream that executes them. */
+  readonly poisonRequests = {
+    /** The box that each was sent to, by attempt id. */
     boxes: new Map<string, string>(),
-    crashes: [] as { id: string; at: Instant }[],
+    crashes: [] as { id: string; at: Milliseconds }[],
   }
-  /** Upstreams that live when the run ends. */
-  lastListed: ReadonlySet<string> = new Set()
-  /** All faults were over. */
-  calmFrom: Instant = Infinity
+  /** Instances that are running when the seed ends. */
+  finalInstances: ReadonlySet<string> = new Set()
+  /** When the last fault ended. */
+  faultsEndedAt: Milliseconds = Infinity
 
-  /** The box to which the caller of an attempt sent it. */
+  /** The box that received an attempt from its caller. */
   boxOf(id: string): string | undefined {
-    return this.attempts.get(id)?.box ?? this.killers.boxes.get(id)
+    return this.attempts.get(id)?.box ?? this.poisonRequests.boxes.get(id)
   }
 
-  noteRun(run: Run): void {
-    const runs = this.runs.get(run.id)
-    if (runs) runs.push(run)
-    else this.runs.set(run.id, [run])
+  recordExecution(execution: Execution): void {
+    const executions = this.executions.get(execution.id)
+    if (executions) executions.push(execution)
+    else this.executions.set(execution.id, [execution])
   }
 
   /**
-   * Whether nothing was wrong with a box, or with what all share, in a span.
-   * `excuses`: the kinds of fault that count; all where it is left out.
+   * Whether no fault struck a box, or all boxes, between `from` and `until`. Without a box, faults
+   * of any box count. `isRelevant`: which kinds of fault count; by default all.
    */
-  isCalm(
+  isFaultFree(
     box: string | undefined,
-    from: Instant,
-    until: Instant,
-    excuses: (kind: string) => boolean = () => true,
+    from: Milliseconds,
+    until: Milliseconds,
+    isRelevant: (kind: string) => boolean = () => true,
   ): boolean {
     return !this.faults.some(
       fault =>
-        excuses(fault.kind) &&
+        isRelevant(fault.kind) &&
         (fault.box === undefined || box === undefined || fault.box === box) &&
         fault.from < until &&
         fault.until > from,
--- a/packages/soak/src/checks/promises.ts
+++ b/packages/soak/src/checks/promises.ts
@@ -4,48 +4,54 @@
   ROUTE_TIMEOUT_MS,
   type DeploymentBounds,
 } from '@yewkeel/platform/stand-ins'
-import { AFTERMATH, LATENESS, STRIKES_BOXES, type PromiseCheck } from './allowances.js'
-import type { Arrival, Evidence, SeenRollout } from './evidence.js'
-import type { Attempt, Instant, PromiseName, Violation } from './seen.js'
+import {
+  affectsBoxes,
+  FAULT_SETTLE_DURATION,
+  SCHEDULING_TOLERANCE,
+  type GuaranteeCheck,
+} from './allowances.js'
+import type { Arrival, Evidence, ObservedRollout } from './evidence.js'
+import type { Attempt, GuaranteeName, Milliseconds, Violation } from './seen.js'
 import { STATEMENT_CHECKS } from './statementChecks.js'
 
-/** An answer comes this long after the time of its attempt at the latest. */
-const ANSWER_SLACK: Instant = 1_500
-/** Statuses that promise that a call has not run. */
-const PROMISES_NOT_RUN = new Set([408, 421, 429, 503])
-/** Part of the requests of the calm end that must be served. */
-const SERVED_AGAIN = 0.8
+/** How long after its deadline an attempt must have ended. */
+const MAX_ANSWER_DELAY: Milliseconds = 1_500
+/** Statuses by which a box guarantees that a call was not executed. */
+const NOT_EXECUTED_STATUSES = new Set([408, 421, 429, 503])
+/** Fraction of the requests after the last fault that must be served. */
+const MIN_SERVED_FRACTION = 0.8
 
 const isSuccess = ({ end }: Attempt) => end !== undefined && end.status >= 200 && end.status < 300
 const attemptsOf = (evidence: Evidence) => [...evidence.attempts.values()]
-const runsOf = (evidence: Evidence, id: string) => evidence.runs.get(id) ?? []
+const executionsOf = (evidence: Evidence, id: string) => evidence.executions.get(id) ?? []
 
-/** The numbers of the events in a stream's text, whole ones only. */
+/** The ids of the complete events in the body of a stream. */
 function eventNumbers(text: string): number[] {
   return [...text.matchAll(/(?<=^|\n)id: (\d+)\ndata: [^\n]*\n\n/g)].map(found => Number(found[1]))
 }
 
-const CHECKS: Record<PromiseName, PromiseCheck> = {
+/** The check of each guarantee. */
+const CHECKS: Record<GuaranteeName, GuaranteeCheck> = {
   'own-answer': evidence =>
     attemptsOf(evidence)
       .filter(attempt => isSuccess(attempt) && attempt.end!.isWhole)
       .filter(({ id, kind, end }) => {
         if (end!.answersId !== id || !end!.isSigned) return true
-        const runs = runsOf(evidence, id)
-        if (runs.length === 0) return true
+        const executions = executionsOf(evidence, id)
+        if (executions.length === 0) return true
         return kind === 'streaming' ? !end!.body.includes(id) : end!.body !== `answer to ${id}`
       })
       .map(({ id, kind }) => `${kind} ${id} was answered with what is not its answer`),
 
   once: evidence =>
     attemptsOf(evidence)
-      .filter(({ kind, id }) => kind === 'unsafe' && runsOf(evidence, id).length > 1)
-      .map(({ id }) => `${id} ran ${runsOf(evidence, id).length} times`),
+      .filter(({ kind, id }) => kind === 'unsafe' && executionsOf(evidence, id).length > 1)
+      .map(({ id }) => `${id} ran ${executionsOf(evidence, id).length} times`),
 
   'not-run': evidence =>
     attemptsOf(evidence)
-      .filter(({ kind, end }) => kind === 'unsafe' && PROMISES_NOT_RUN.has(end?.status ?? 0))
-      .filter(({ id }) => runsOf(evidence, id).length > 0)
+      .filter(({ kind, end }) => kind === 'unsafe' && NOT_EXECUTED_STATUSES.has(end?.status ?? 0))
+      .filter(({ id }) => executionsOf(evidence, id).length > 0)
       .map(({ id, end }) => `${id} ran and was answered with ${end!.status}`),
 
   'whole-stream': evidence =>
@@ -59,34 +65,46 @@
       .map(({ id, end }) => `${id} has events ${eventNumbers(end!.body).join(' ')}`),
 
   'revoked-keys': (evidence, { keyRevocation }) =>
-    evidence.keyChanges.flatMap(({ key, takenAwayAt }) =>
+    evidence.keyRevocations.flatMap(({ key, revokedAt }) =>
       attemptsOf(evidence)
-        .filter(({ sentAt }) => sentAt > takenAwayAt + keyRevocation)
-        .filter(attempt => attempt.key === key && runsOf(evidence, attempt.id).length > 0)
-        .map(
-          ({ id, sentAt }) => `${id} ran ${sentAt - takenAwayAt} ms after its key was taken away`,
-        ),
+        .filter(({ sentAt }) => sentAt > revokedAt + keyRevocation)
+        .filter(attempt => attempt.key === key && executionsOf(evidence, attempt.id).length > 0)
+        .map(({ id, sentAt }) => `${id} ran ${sentAt - revokedAt} ms after its key was taken away`),
     ),
 
   configuration: (evidence, { newsWithin }) =>
-    evidence.routeMoves.flatMap(({ at, before }, index) => {
+    evidence.routeMoves.flatMap(({ at, previousService }, index) => {
       const next = evidence.routeMoves[index + 1]?.at ?? Infinity
       return attemptsOf(evidence)
-        .filter(({ kind, sentAt }) => kind !== 'streaming' && sentAt > at + newsWithin + LATENESS)
-        .filter(({ sentAt, box }) => sentAt < next && evidence.isCalm(box, at - AFTERMATH, sentAt))
-        .filter(({ id }) => runsOf(evidence, id).some(run => run.service === before))
+        .filter(
+          ({ kind, sentAt }) =>
+            kind !== 'streaming' && sentAt > at + newsWithin + SCHEDULING_TOLERANCE,
+        )
+        .filter(
+          ({ sentAt, box }) =>
+            sentAt < next && evidence.isFaultFree(box, at - FAULT_SETTLE_DURATION, sentAt),
+        )
+        .filter(({ id }) =>
+          executionsOf(evidence, id).some(execution => execution.service === previousService),
+        )
         .map(
-          ({ id, sentAt }) => `${id} ran at ${before} ${sentAt - at} ms after its route had moved`,
+          ({ id, sentAt }) =>
+            `${id} ran at ${previousService} ${sentAt - at} ms after its route had moved`,
         )
     }),
 
   draining: (evidence, { newsWithin }) =>
-    evidence.leavings.flatMap(({ instance, at }) =>
+    evidence.drains.flatMap(({ instance, at }) =>
       evidence.arrivals
-        .filter(arrival => arrival.instance === instance && arrival.at > at + newsWithin + LATENESS)
+        .filter(
+          arrival =>
+            arrival.instance === instance && arrival.at > at + newsWithin + SCHEDULING_TOLERANCE,
+        )
         .filter(arrival => {
           const attempt = evidence.attempts.get(arrival.id)
-          return attempt && evidence.isCalm(attempt.box, at - AFTERMATH, arrival.at)
+          return (
+            attempt && evidence.isFaultFree(attempt.box, at - FAULT_SETTLE_DURATION, arrival.at)
+          )
         })
         .map(
           arrival =>
@@ -98,7 +116,7 @@
     [...new Set(evidence.arrivals.map(({ service }) => service))].flatMap(service => {
       const arrivals = evidence.arrivals.filter(arrival => arrival.service === service)
       const seen = new Set<string>()
-      const repeats: Instant[] = []
+      const repeats: Milliseconds[] = []
       for (const { id, at } of arrivals) if (seen.size === seen.add(id).size) repeats.push(at)
       return repeats
         .filter((at, index) => {
@@ -118,8 +136,11 @@
   answered: evidence =>
     attemptsOf(evidence)
       .filter(({ kind, sentAt, timeLeft, end, box }) => {
-        const due = sentAt + Math.min(timeLeft, ROUTE_TIMEOUT_MS[kind]) + ANSWER_SLACK
-        return (end?.at ?? Infinity) > due && evidence.isCalm(box, sentAt - AFTERMATH, due)
+        const due = sentAt + Math.min(timeLeft, ROUTE_TIMEOUT_MS[kind]) + MAX_ANSWER_DELAY
+        return (
+          (end?.at ?? Infinity) > due &&
+          evidence.isFaultFree(box, sentAt - FAULT_SETTLE_DURATION, due)
+        )
       })
       .map(({ id, kind, box }) => `${kind} ${id} got no end from ${box} in its time`),
 
@@ -130,20 +151,24 @@
         attemptsOf(evidence)
           .filter(attempt => attempt.box === box && attempt.end?.status === 0)
           .filter(({ sentAt, end }) => sentAt < from && end!.at > from && end!.at < until)
-          .filter(({ id }) => runsOf(evidence, id).length > 0)
+          .filter(({ id }) => executionsOf(evidence, id).length > 0)
           .filter(({ sentAt, end }) => {
             const others = evidence.faults.filter(fault => fault.box !== box || fault.from !== from)
-            return !others.some(fault => fault.from < end!.at && fault.until > sentAt - AFTERMATH)
+            return !others.some(
+              fault => fault.from < end!.at && fault.until > sentAt - FAULT_SETTLE_DURATION,
+            )
           })
           .map(({ id }) => `${id} was cut off by the planned stop of ${box}`),
       ),
 
   recovery: evidence => {
-    if (evidence.calmFrom === Infinity) return []
-    const late = attemptsOf(evidence).filter(({ sentAt }) => sentAt > evidence.calmFrom + AFTERMATH)
+    if (evidence.faultsEndedAt === Infinity) return []
+    const late = attemptsOf(evidence).filter(
+      ({ sentAt }) => sentAt > evidence.faultsEndedAt + FAULT_SETTLE_DURATION,
+    )
     if (late.length === 0) return ['no caller found a box after all faults were over']
     const served = late.filter(attempt => isSuccess(attempt) && attempt.end!.isWhole)
-    return served.length < SERVED_AGAIN * late.length
+    return served.length < MIN_SERVED_FRACTION * late.length
       ? [`${served.length} of ${late.length} requests were served after all faults were over`]
       : []
   },
@@ -152,16 +177,21 @@
     const { rollout } = evidence
     if (!rollout?.isBad) return []
     const { target, flawedAt } = rollout
-    const all = arrivalsIn(evidence, rollout, () => false)
-    const allowed = exposureShare * all.length + exposureSlack
+    const arrivals = rolloutArrivals(evidence, rollout, () => false)
+    const allowed = exposureShare * arrivals.length + exposureSlack
     const isOfTarget = ({ version }: Arrival) => version === target
-    const got = arrivalsIn(evidence, rollout, STRIKES_PROCESSES).filter(isOfTarget)
-    const due = (flawedAt[BAD_ANSWERS - 1] ?? Infinity) + rollBackWithin + LATENESS
-    const late = arrivalsIn(evidence, rollout, STRIKES_BOXES)
+    const targetArrivals = rolloutArrivals(evidence, rollout, affectsRouting).filter(isOfTarget)
+    const due =
+      (flawedAt[BAD_ANSWERS_BEFORE_ROLLBACK - 1] ?? Infinity) +
+      rollBackWithin +
+      SCHEDULING_TOLERANCE
+    const late = rolloutArrivals(evidence, rollout, affectsBoxes)
       .filter(isOfTarget)
       .filter(({ at }) => at > due)
     return [
-      ...(got.length > allowed ? [`${target} got ${got.length} of ${all.length} requests`] : []),
+      ...(targetArrivals.length > allowed
+        ? [`${target} got ${targetArrivals.length} of ${arrivals.length} requests`]
+        : []),
       ...(late.length > 0 ? [`${target} got ${late.length} requests after it was known`] : []),
     ]
   },
@@ -172,14 +202,17 @@
       : [],
 
   'crashing-request': evidence => {
-    const { boxes, crashes } = evidence.killers
-    const known = (crashes[CRASHES_TO_KNOW - 1]?.at ?? Infinity) + KNOWN_WITHIN + LATENESS
+    const { boxes, crashes } = evidence.poisonRequests
+    const quarantinedBy =
+      (crashes[CRASHES_BEFORE_QUARANTINE - 1]?.at ?? Infinity) +
+      MAX_QUARANTINE_DELAY +
+      SCHEDULING_TOLERANCE
     const late = evidence.arrivals.filter(({ id, at }) => {
       const box = boxes.get(id)
-      const isCalm = evidence.isCalm(box, at - AFTERMATH, at, STRIKES_BOXES)
-      return box !== undefined && at > known && isCalm
+      const isFaultFree = evidence.isFaultFree(box, at - FAULT_SETTLE_DURATION, at, affectsBoxes)
+      return box !== undefined && at > quarantinedBy && isFaultFree
     })
-    return late.length > MOST_LATE_RUNS
+    return late.length > MAX_LATE_ARRIVALS
       ? [`a request under which three upstreams had ended was sent ${late.length} times more`]
       : []
   },
@@ -192,36 +225,40 @@
       .map(({ id, kind }) => `${kind} ${id} was held to crash upstreams`),
 }
 
-/** After so many crashes all boxes know of a request that causes them, within this, and run it no more than so often. */
-const CRASHES_TO_KNOW = 3
-const KNOWN_WITHIN: Instant = 3_000
-const MOST_LATE_RUNS = 3
+/** Crashes after which all boxes must quarantine a request. */
+const CRASHES_BEFORE_QUARANTINE = 3
+/** Time between the last of these crashes and the quarantine by all boxes. */
+const MAX_QUARANTINE_DELAY: Milliseconds = 3_000
+/** Attempts tolerated after that. */
+const MAX_LATE_ARRIVALS = 3
 
-/** Bad answers after which a version must be known to be bad. */
-const BAD_ANSWERS = 50
+/** Bad answers after which the boxes must roll a version back. */
+const BAD_ANSWERS_BEFORE_ROLLBACK = 50
 
-/** A store that is out delays verdicts, and takes no share of requests with it. */
-const STRIKES_PROCESSES = (kind: string) => STRIKES_BOXES(kind) && !kind.startsWith('store')
+/** Faults of the store delay a rollback, but don't change the shares of the versions. */
+const affectsRouting = (kind: string) => affectsBoxes(kind) && !kind.startsWith('store')
 
-/** Requests that boxes sent to a service in the time of its roll-out while none of these faults struck them. */
-function arrivalsIn(
+/** Requests to the service during its rollout, except those of boxes with a relevant fault. */
+function rolloutArrivals(
   evidence: Evidence,
-  { service, orderedAt, endsAt }: SeenRollout,
-  excuses: (kind: string) => boolean,
+  { service, orderedAt, endsAt }: ObservedRollout,
+  isRelevant: (kind: string) => boolean,
 ): Arrival[] {
   return evidence.arrivals
     .filter(arrival => arrival.service === service)
     .filter(({ at }) => at >= orderedAt && at < endsAt)
     .filter(({ id, at }) => {
       const box = evidence.attempts.get(id)?.box
-      return box !== undefined && evidence.isCalm(box, at - AFTERMATH, at, excuses)
+      return (
+        box !== undefined && evidence.isFaultFree(box, at - FAULT_SETTLE_DURATION, at, isRelevant)
+      )
     })
 }
 
-/** Every promise that was not kept, with where. */
+/** Runs all checks and returns the violations. */
 export function findViolations(evidence: Evidence, bounds: DeploymentBounds): Violation[] {
-  const names = Object.keys(CHECKS) as PromiseName[]
-  return names.flatMap(promise =>
-    CHECKS[promise](evidence, bounds).map(detail => ({ promise, detail })),
+  const names = Object.keys(CHECKS) as GuaranteeName[]
+  return names.flatMap(guarantee =>
+    CHECKS[guarantee](evidence, bounds).map(detail => ({ guarantee, detail })),
   )
 }
--- a/packages/soak/src/checks/seen.ts
+++ b/packages/soak/src/checks/seen.ts
@@ -1,74 +1,94 @@
 import type { AttemptKind } from '@yewkeel/platform/stand-ins'
 
-/** Milliseconds on the soak's own steady clock. */
-export type Instant = number
+/** A duration, or a time on the soak's monotonic clock. */
+export type Milliseconds = number
 
-/** How an attempt ended for its caller. */
+/** How an attempt ended, as its caller saw it. */
 export interface AttemptEnd {
-  at: Instant
-  /** 0 when the connection ended without a head. */
+  at: Milliseconds
+  /** 0 when the connection ended before the response head. */
   status: number
-  /** The id that the answer names. */
+  /** The attempt id in the answer's headers. */
   answersId?: string | undefined
   isSigned: boolean
-  /** The answer ended as its framing says. */
+  /** The answer is complete according to its HTTP framing. */
   isWhole: boolean
   body: string
 }
 
-/** One attempt of a caller. Every attempt has an id of its own. */
+/** One attempt of a caller. Its id is unique within the run. */
 export interface Attempt {
   id: string
   kind: AttemptKind
   key: string
   box: string
-  sentAt: Instant
-  timeLeft: Instant
+  sentAt: Milliseconds
+  timeLeft: Milliseconds
   end?: AttemptEnd
 }
 
-/** An upstream began to work on an attempt. */
-export interface Run {
+/** An upstream began to execute an attempt. */
+export interface Execution {
   id: string
   service: string
   instance: string
   organisation: string | undefined
-  at: Instant
+  at: Milliseconds
 }
 
-/** A span in which something outside was wrong. */
+/** The time between the injection of a fault and its end. */
 export interface FaultSpan {
   kind: string
-  /** The box that it strikes; undefined when it strikes all. */
+  /** The affected box; undefined if all are affected. */
   box?: string
-  from: Instant
-  /** Infinite while it lasts. */
-  until: Instant
+  from: Milliseconds
+  /** Infinity while the fault lasts. */
+  until: Milliseconds
 }
 
-/** A promise that was not kept. */
+/** A violated guarantee. */
 export interface Violation {
-  promise: PromiseName
+  guarantee: GuaranteeName
   detail: string
 }
 
-export type PromiseName =
+/** What the soak checks. The names appear in its output. */
+export type GuaranteeName =
+  /** An attempt is answered with the signed answer to itself. */
   | 'own-answer'
+  /** A call on the `unsafe` route is executed at most once. */
   | 'once'
+  /** A call refused with a status that says so was not executed. */
   | 'not-run'
+  /** A stream has no gap, and is complete if it ends as complete. */
   | 'whole-stream'
+  /** A revoked API key is rejected within the bound. */
   | 'revoked-keys'
+  /** A changed route is applied within the bound. */
   | 'configuration'
+  /** An upstream whose row says that it drains gets no new requests. */
   | 'draining'
+  /** Retries stay within the retry budget. */
   | 'retry-budget'
+  /** An attempt ends by its deadline. */
   | 'answered'
+  /** A planned stop of a box cuts no attempt off. */
   | 'planned-stop'
+  /** Requests are served again once all faults have ended. */
   | 'recovery'
+  /** A bad version gets few requests and is rolled back in time. */
   | 'exposure'
+  /** A good version is not rolled back. */
   | 'roll-out'
+  /** A request that crashes upstreams is quarantined. */
   | 'crashing-request'
+  /** No caller's ordinary request is quarantined. */
   | 'condemned-nobody'
+  /** An upstream gets no more requests than the limit that it states. */
   | 'limit'
+  /** An upstream that asks for a back-off gets no requests until it ends. */
   | 'rest'
+  /** An upstream whose answers say that it drains gets no new requests. */
   | 'leaving'
+  /** An upstream gets requests again after its statement has ended. */
   | 'used-again'
--- a/packages/soak/src/checks/statementChecks.ts
+++ b/packages/soak/src/checks/statementChecks.ts
@@ -1,111 +1,138 @@
-import { AFTERMATH, LATENESS, STRIKES_BOXES, type PromiseCheck } from './allowances.js'
+import {
+  affectsBoxes,
+  FAULT_SETTLE_DURATION,
+  SCHEDULING_TOLERANCE,
+  type GuaranteeCheck,
+} from './allowances.js'
 import type { Arrival, Evidence } from './evidence.js'
-import type { Instant, PromiseName } from './seen.js'
+import type { GuaranteeName, Milliseconds } from './seen.js'
 
-/** Upstreams' words bind so long after they were first said, and a box that has passed such an answer on so long before. */
-const CONTACT: Instant = 3_000
-const TOLD_AFTER: Instant = 500
-const LIMIT_WINDOW: Instant = 4_000
-const LIMIT_TIMES = 1.5
-const LIMIT_SLACK = 5
-const MOST_IN_REST = 2
-const LEAVES_WITHIN: Instant = 2_000
-/** Of so many requests each of a service's upstreams gets some. */
-const ENOUGH_ARRIVALS = 40
+/** Time for a limit to reach all boxes after the first answer that states it. */
+const LIMIT_PROPAGATION_DELAY: Milliseconds = 3_000
+/** Time for a box to apply a statement after it received the answer. */
+const STATEMENT_DELAY: Milliseconds = 500
+const LIMIT_WINDOW: Milliseconds = 4_000
+const LIMIT_TOLERANCE_FACTOR = 1.5
+const LIMIT_SLACK_REQUESTS = 5
+/** Requests tolerated while an upstream has asked for a back-off. */
+const MAX_BACK_OFF_ARRIVALS = 2
+/** Time for a box to stop sending to an upstream that drains. */
+const MAX_DRAIN_DELAY: Milliseconds = 2_000
+/** Requests to a service after which each of its upstreams must have received one. */
+const MIN_SERVICE_ARRIVALS = 40
 
-type Word = 'limit' | 'isLeaving'
+type StatementField = 'limit' | 'isLeaving'
 
-const instancesThat = ({ said }: Evidence, word: Word) => [
-  ...new Set(said.filter(({ words }) => words[word]).map(({ instance }) => instance)),
+const instancesStating = ({ statementAnswers }: Evidence, field: StatementField) => [
+  ...new Set(
+    statementAnswers.filter(({ content }) => content[field]).map(({ instance }) => instance),
+  ),
 ]
 
-/** When each box first got an answer of each upstream that says this, by both names. */
-function firstTold(evidence: Evidence, word: Word): Map<string, Instant> {
-  const told = new Map<string, Instant>()
-  for (const { instance, id, words, at } of evidence.said) {
+/** When each box first received this statement from each upstream, by `<box> <instance>`. */
+function firstReceivedAt(evidence: Evidence, field: StatementField): Map<string, Milliseconds> {
+  const received = new Map<string, Milliseconds>()
+  for (const { instance, id, content, at } of evidence.statementAnswers) {
     const key = `${evidence.boxOf(id)} ${instance}`
-    if (words[word] && !told.has(key)) told.set(key, at)
+    if (content[field] && !received.has(key)) received.set(key, at)
   }
-  return told
+  return received
 }
 
-/** Requests that count against an upstream's limit: of boxes that it told, and that nothing struck. */
+/** Requests that count against an upstream's limit: from fault-free boxes that had received it. */
 function limitedArrivals(evidence: Evidence, instance: string): Arrival[] {
-  const told = firstTold(evidence, 'limit')
-  const said = evidence.said.filter(answer => answer.instance === instance && answer.words.limit)
-  const bindsFrom = (said[0]?.at ?? Infinity) + CONTACT
+  const received = firstReceivedAt(evidence, 'limit')
+  const answers = evidence.statementAnswers.filter(
+    answer => answer.instance === instance && answer.content.limit,
+  )
+  const enforcedFrom = (answers[0]?.at ?? Infinity) + LIMIT_PROPAGATION_DELAY
   return evidence.arrivals.filter(({ id, instance: reached, at }) => {
-    if (reached !== instance || at < bindsFrom) return false
+    if (reached !== instance || at < enforcedFrom) return false
     const box = evidence.boxOf(id)
-    const toldAt = told.get(`${box} ${instance}`) ?? Infinity
+    const receivedAt = received.get(`${box} ${instance}`) ?? Infinity
     return (
-      at > toldAt + TOLD_AFTER + LATENESS && evidence.isCalm(box, at - AFTERMATH, at, STRIKES_BOXES)
+      at > receivedAt + STATEMENT_DELAY + SCHEDULING_TOLERANCE &&
+      evidence.isFaultFree(box, at - FAULT_SETTLE_DURATION, at, affectsBoxes)
     )
   })
 }
 
-/** What an upstream's limits allow in a window; where it names none, nothing is counted against it. */
-function allowedBy({ statements }: Evidence, instance: string, from: Instant): number {
+/**
+ * Requests that an upstream's limits allow in the window from `from` on; Infinity if it states none
+ * at some time.
+ */
+function allowedRequests(
+  { statementSpans }: Evidence,
+  instance: string,
+  from: Milliseconds,
+): number {
   const step = 100
   let allowed = 0
   for (let at = from; at < from + LIMIT_WINDOW; at += step) {
-    const spans = statements.filter(span => span.instance === instance && span.words.limit)
-    const last = spans.filter(span => span.from <= at && span.until > at).at(-1)
-    allowed += ((last?.words.limit ?? Infinity) * step) / 1_000
+    const spans = statementSpans.filter(span => span.instance === instance && span.content.limit)
+    const current = spans.filter(span => span.from <= at && span.until > at).at(-1)
+    allowed += ((current?.content.limit ?? Infinity) * step) / 1_000
   }
   return allowed
 }
 
-/** Promises about what upstreams say of themselves. */
+/** Checks of how boxes follow the statements of upstreams. */
 export const STATEMENT_CHECKS: Record<
-  Extract<PromiseName, 'limit' | 'rest' | 'leaving' | 'used-again'>,
-  PromiseCheck
+  Extract<GuaranteeName, 'limit' | 'rest' | 'leaving' | 'used-again'>,
+  GuaranteeCheck
 > = {
   limit: evidence =>
-    instancesThat(evidence, 'limit').flatMap(instance => {
+    instancesStating(evidence, 'limit').flatMap(instance => {
       const counted = limitedArrivals(evidence, instance)
       const excess = counted.find(({ at }, index) => {
         const count = counted.slice(index).filter(later => later.at < at + LIMIT_WINDOW).length
-        return count > LIMIT_TIMES * allowedBy(evidence, instance, at) + LIMIT_SLACK
+        return (
+          count >
+          LIMIT_TOLERANCE_FACTOR * allowedRequests(evidence, instance, at) + LIMIT_SLACK_REQUESTS
+        )
       })
       return excess ? [`${instance} got more than its limit from ${Math.round(excess.at)} on`] : []
     }),
 
   rest: evidence =>
-    evidence.said
-      .filter(({ words }) => words.rest !== undefined)
-      .flatMap(({ instance, id, words, at }) => {
+    evidence.statementAnswers
+      .filter(({ content }) => content.rest !== undefined)
+      .flatMap(({ instance, id, content, at }) => {
         const box = evidence.boxOf(id)
-        const endsAt = at + words.rest! * 1_000
-        const within = evidence.arrivals.filter(
+        const endsAt = at + content.rest! * 1_000
+        const arrivals = evidence.arrivals.filter(
           arrival =>
             arrival.instance === instance &&
-            arrival.at > at + TOLD_AFTER + LATENESS &&
+            arrival.at > at + STATEMENT_DELAY + SCHEDULING_TOLERANCE &&
             arrival.at < endsAt &&
             evidence.boxOf(arrival.id) === box,
         )
-        return within.length > MOST_IN_REST && evidence.isCalm(box, at, endsAt, STRIKES_BOXES)
-          ? [`${instance} asked ${box} for ${words.rest} s of rest and got ${within.length}`]
+        return arrivals.length > MAX_BACK_OFF_ARRIVALS &&
+          evidence.isFaultFree(box, at, endsAt, affectsBoxes)
+          ? [`${instance} asked ${box} for ${content.rest} s of rest and got ${arrivals.length}`]
           : []
       }),
 
   leaving: evidence => {
-    const told = firstTold(evidence, 'isLeaving')
+    const received = firstReceivedAt(evidence, 'isLeaving')
     return evidence.arrivals
       .filter(({ id, instance, at }) => {
         const box = evidence.boxOf(id)
-        const toldAt = told.get(`${box} ${instance}`) ?? Infinity
+        const receivedAt = received.get(`${box} ${instance}`) ?? Infinity
         const sentAt = evidence.attempts.get(id)?.sentAt ?? -Infinity
-        const isLate = sentAt > toldAt + LEAVES_WITHIN + LATENESS
-        return isLate && evidence.isCalm(box, toldAt, at, STRIKES_BOXES)
+        const isLate = sentAt > receivedAt + MAX_DRAIN_DELAY + SCHEDULING_TOLERANCE
+        return isLate && evidence.isFaultFree(box, receivedAt, at, affectsBoxes)
       })
       .map(({ id, instance }) => `${id} reached ${instance} after it had said that it leaves`)
   },
 
-  // Where few requests come, the choice may pass by one of several all the same: used at all counts.
+  // A single request since the statement's end is enough: with little traffic, load balancing may
+  // skip an upstream.
   'used-again': evidence => {
-    const from = evidence.calmFrom + AFTERMATH
-    const spans = evidence.statements.filter(({ words, until }) => !words.isLeaving && until < from)
+    const from = evidence.faultsEndedAt + FAULT_SETTLE_DURATION
+    const spans = evidence.statementSpans.filter(
+      ({ content, until }) => !content.isLeaving && until < from,
+    )
     const endedAt = new Map(spans.map(({ instance, until }) => [instance, until]))
     return [...endedAt].flatMap(([instance, at]) => {
       const service = evidence.arrivals.find(arrival => arrival.instance === instance)?.service
@@ -113,8 +140,8 @@
         arrival => arrival.service === service && arrival.at > at,
       )
       const isUsed = later.some(arrival => arrival.instance === instance)
-      const last = later.filter(arrival => arrival.at > from).length
-      return evidence.lastListed.has(instance) && !isUsed && last > ENOUGH_ARRIVALS
+      const lateCount = later.filter(arrival => arrival.at > from).length
+      return evidence.finalInstances.has(instance) && !isUsed && lateCount > MIN_SERVICE_ARRIVALS
         ? [`${instance} got none of ${later.length} requests of ${service} after it was in need`]
         : []
     })
--- a/packages/soak/src/faults/faultKinds.ts
+++ b/packages/soak/src/faults/faultKinds.ts
@@ -1,52 +1,55 @@
 import type { Random } from '@yewkeel/decisions'
 import type { RowsStandIn } from '@yewkeel/platform/stand-ins'
 import type { SoakBox } from '../world/boxProcess.js'
-import type { UpstreamPlace, Upstreams } from '../world/upstreams.js'
+import type { UpstreamSlot, Upstreams } from '../world/upstreams.js'
 import type { LoopbackProxy, ProxyMode } from './loopbackProxy.js'
 
-/** One box with the proxies around it. */
-export interface BoxWorld {
+/** A box, with the proxies in front of it and between it and the store. */
+export interface ProxiedBox {
   process: SoakBox
   callerProxy: LoopbackProxy
   storeProxy: LoopbackProxy
 }
 
-/** What faults may strike. */
+/** What faults are injected into. */
 export interface World {
-  boxes: BoxWorld[]
+  boxes: ProxiedBox[]
   upstreams: Upstreams
   rows: RowsStandIn
   random: Random
-  /** Operators take the callers' key away and give them another. */
+  /** Revokes the callers' API key and issues another. */
   changeKey(): void
-  /** Operators send calls to the other service. */
+  /** Routes calls to the other service. */
   moveRoute(): void
 }
 
-/** What a fault strikes: the box whose spans it names, if it is one box. */
-export interface Strike {
+/** A fault in progress. */
+export interface ActiveFault {
+  /** The affected box; undefined if the fault isn't limited to one. */
   box?: string
-  /** Ends the fault, and resolves when it is over. */
+  /** Ends the fault; resolves once it is over. */
   end(): Promise<void> | void
 }
 
-export type FaultKind = (world: World) => Promise<Strike> | Strike
+/** Injects a fault into a random target. */
+export type FaultKind = (world: World) => Promise<ActiveFault> | ActiveFault
 
-const anyOf = <T>(members: readonly T[], random: Random): T =>
+const randomElement = <T>(members: readonly T[], random: Random): T =>
   members[Math.floor(random() * members.length)]!
-const anyBox = ({ boxes, random }: World): BoxWorld => anyOf(boxes, random)
-const anyPlace = ({ upstreams, random }: World): UpstreamPlace => anyOf(upstreams.places, random)
+const randomBox = ({ boxes, random }: World): ProxiedBox => randomElement(boxes, random)
+const randomUpstream = ({ upstreams, random }: World): UpstreamSlot =>
+  randomElement(upstreams.slots, random)
 
-/** How long a killed box is down before the platform starts it again, in ms. */
-const DOWN_MS = 300
+/** Time until the platform restarts a killed box. */
+const RESTART_DELAY_MS = 300
 const pause = (span: number) => new Promise(resolve => setTimeout(resolve, span))
 
 const LINK_MODES: readonly ProxyMode[] = ['delay', 'reset', 'silent', 'silent-back']
 
-function linkFault(proxyOf: (box: BoxWorld) => LoopbackProxy): FaultKind {
+function linkFault(proxyOf: (box: ProxiedBox) => LoopbackProxy): FaultKind {
   return world => {
-    const box = anyBox(world)
-    proxyOf(box).setMode(anyOf(LINK_MODES, world.random))
+    const box = randomBox(world)
+    proxyOf(box).setMode(randomElement(LINK_MODES, world.random))
     return { box: box.process.box, end: () => proxyOf(box).setMode('pass') }
   }
 }
@@ -62,9 +65,9 @@
   }
 }
 
-function upstreamFault(change: Partial<UpstreamPlace['standIn']['faults']>): FaultKind {
+function upstreamFault(change: Partial<UpstreamSlot['standIn']['faults']>): FaultKind {
   return world => {
-    const { standIn } = anyPlace(world)
+    const { standIn } = randomUpstream(world)
     Object.assign(standIn.faults, change)
     return {
       end() {
@@ -74,33 +77,35 @@
   }
 }
 
-/** Every kind of fault that is injected from outside the boxes. */
+/** All kinds of fault, by name. */
 export const FAULT_KINDS: Record<string, FaultKind> = {
   'box-kill': world => {
-    const { process } = anyBox(world)
+    const { process } = randomBox(world)
     const killed = process
       .kill()
-      .then(() => pause(DOWN_MS))
+      .then(() => pause(RESTART_DELAY_MS))
       .then(() => process.start())
     return { box: process.box, end: () => killed }
   },
   'box-stop': world => {
-    const { process } = anyBox(world)
+    const { process } = randomBox(world)
     const stopped = process.stop().then(() => process.start())
     return { box: process.box, end: () => stopped }
   },
   'box-pause': world => {
-    const { process } = anyBox(world)
+    const { process } = randomBox(world)
     process.pause()
     return { box: process.box, end: () => process.resume() }
   },
   'all-boxes-kill': async ({ boxes }) => {
     await Promise.all(boxes.map(({ process }) => process.kill()))
-    const started = pause(DOWN_MS).then(() => boxes.forEach(({ process }) => process.start()))
+    const started = pause(RESTART_DELAY_MS).then(() =>
+      boxes.forEach(({ process }) => process.start()),
+    )
     return { end: () => started }
   },
   'box-reload': world => {
-    const { process } = anyBox(world)
+    const { process } = randomBox(world)
     process.reload()
     return { box: process.box, end() {} }
   },
@@ -112,16 +117,16 @@
   'store-loses-answers': storeFault({ losesAnswers: true }),
   'store-forgets': storeFault({ hasNoHistory: true }),
   'upstream-link': world => {
-    const { proxy } = anyPlace(world)
-    proxy.setMode(anyOf(LINK_MODES, world.random))
+    const { proxy } = randomUpstream(world)
+    proxy.setMode(randomElement(LINK_MODES, world.random))
     return { end: () => proxy.setMode('pass') }
   },
   'upstream-crash': async world => {
-    await world.upstreams.crash(anyPlace(world))
+    await world.upstreams.crash(randomUpstream(world))
     return { end() {} }
   },
   'upstream-replace': async world => {
-    await world.upstreams.replace(anyPlace(world))
+    await world.upstreams.replace(randomUpstream(world))
     return { end() {} }
   },
   'upstream-fails': upstreamFault({ failShare: 0.4 }),
@@ -138,5 +143,10 @@
   },
 }
 
-/** Changes and planned work, which the promises hold under: they count as faults to none of them. */
-export const PLANNED = new Set(['box-reload', 'upstream-replace', 'key-change', 'route-move'])
+/** Planned changes: no check excuses a violation because of them. */
+export const PLANNED_CHANGES = new Set([
+  'box-reload',
+  'upstream-replace',
+  'key-change',
+  'route-move',
+])
--- a/packages/soak/src/faults/loopbackProxy.ts
+++ b/packages/soak/src/faults/loopbackProxy.ts
@@ -3,34 +3,40 @@
 
 const clock = createSystemClock()
 
-/** What a proxy does to its connections: both ways, or only to what comes back from its target. */
+/**
+ * What a proxy does with its connections. `silent` drops data both ways, `silent-back` only data
+ * from the target.
+ */
 export type ProxyMode = 'pass' | 'delay' | 'reset' | 'silent' | 'silent-back'
 
 export interface LoopbackProxy {
-  /** `host:port` that stands for the target. */
+  /** `host:port` to connect to in place of the target. */
   address: string
-  /** What is under way changes with it: a reset strikes the open connections at once. */
+  /** Applies to open connections, too: `reset` resets them at once. */
   setMode(mode: ProxyMode): void
   close(): void
 }
 
-/** One way of each chunk while connections are delayed, in ms: some times a slow link's. */
-const DELAY_MS = 120
+/** Delay of each chunk in each direction in mode `delay`. */
+const LINK_DELAY_MS = 120
 
-/** Runs work after a delay, and always in the order in which it came: timers alone may change places. */
+/** Runs work after a delay that may vary, always in the order of submission. */
 export function createOrderedDelay(delay: () => number): (work: () => void) => void {
-  const waiting: { dueAt: number; work: () => void }[] = []
+  const queue: { dueAt: number; work: () => void }[] = []
   const run = () => {
-    while (waiting.length > 0 && waiting[0]!.dueAt <= clock.now()) waiting.shift()!.work()
-    if (waiting.length > 0) clock.after(Math.max(1, waiting[0]!.dueAt - clock.now()), run)
+    while (queue.length > 0 && queue[0]!.dueAt <= clock.now()) queue.shift()!.work()
+    if (queue.length > 0) clock.after(Math.max(1, queue[0]!.dueAt - clock.now()), run)
   }
   return work => {
-    waiting.push({ dueAt: clock.now() + delay(), work })
-    if (waiting.length === 1) run()
+    queue.push({ dueAt: clock.now() + delay(), work })
+    if (queue.length === 1) run()
   }
 }
 
-/** A TCP proxy on loopback that does to connections what networks do. `target` is asked at each new connection. */
+/**
+ * A TCP proxy on loopback that injects network faults. `target` returns the `host:port` for each
+ * new connection.
+ */
 export async function startLoopbackProxy(
   host: string,
   target: () => string,
@@ -43,27 +49,28 @@
     socket.on('error', () => socket.destroy())
   }
   const relay = (from: Socket, to: Socket, isBack: boolean) => {
-    const later = createOrderedDelay(() => (mode === 'delay' ? DELAY_MS : 0))
-    // A connection that has lost bytes never goes on after them: no network takes some out of its middle.
+    const forward = createOrderedDelay(() => (mode === 'delay' ? LINK_DELAY_MS : 0))
+    // After dropped bytes a connection forwards nothing more: TCP never delivers a stream with a
+    // gap.
     let hasLostBytes = false
     from.on('data', chunk => {
       hasLostBytes ||= mode === 'silent' || (mode === 'silent-back' && isBack)
       if (hasLostBytes) return
-      later(() => to.destroyed || to.write(chunk))
+      forward(() => to.destroyed || to.write(chunk))
     })
-    from.once('end', () => later(() => to.end()))
+    from.once('end', () => forward(() => to.end()))
     from.once('close', hadError =>
-      hadError ? to.resetAndDestroy() : later(() => to.destroySoon()),
+      hadError ? to.resetAndDestroy() : forward(() => to.destroySoon()),
     )
   }
   const server = createServer({ allowHalfOpen: true }, socket => {
     track(socket)
     if (mode === 'reset') return void socket.resetAndDestroy()
     const [targetHost, port] = target().split(':')
-    const other = connect({ host: targetHost!, port: Number(port), allowHalfOpen: true })
-    track(other)
-    relay(socket, other, false)
-    relay(other, socket, true)
+    const targetSocket = connect({ host: targetHost!, port: Number(port), allowHalfOpen: true })
+    track(targetSocket)
+    relay(socket, targetSocket, false)
+    relay(targetSocket, socket, true)
   })
   await new Promise<void>(resolve => server.listen(0, host, resolve))
   return {
--- a/packages/soak/src/node/main.ts
+++ b/packages/soak/src/node/main.ts
@@ -5,11 +5,13 @@
 import { defineCommand, runMain } from 'citty'
 import { runSeed, type SeedOptions, type SeedResult } from '../runSeed.js'
 
-const PROGRAM = fileURLToPath(new URL('../../../../../platform/bundle/start.cjs', import.meta.url))
-const REGRESSIONS = fileURLToPath(new URL('../../../regressions.json', import.meta.url))
-const RANGE = /^(\d+)(?:-(\d+))?$/
+const BOX_PROGRAM = fileURLToPath(
+  new URL('../../../../../platform/bundle/start.cjs', import.meta.url),
+)
+const REGRESSIONS_FILE = fileURLToPath(new URL('../../../regressions.json', import.meta.url))
+const SEED_RANGE = /^(\d+)(?:-(\d+))?$/
 
-/** A seed that failed once, and why. */
+/** A seed that once failed, and why. */
 interface Regression {
   seed: number
   seconds: number
@@ -17,12 +19,12 @@
   cause: string
 }
 
-/** The seeds of a range, each with the same options. */
-function readRange(text: string): number[] {
-  const range = RANGE.exec(text)
+/** Parses `FROM-TO` or a single seed. Throws if the text is neither. */
+function parseSeedRange(text: string): number[] {
+  const range = SEED_RANGE.exec(text)
   if (!range) throw new Error(`--seeds ${text}: give FROM-TO, as 1-50`)
   const from = Number(range[1])
-  return Array.from({ length: Number(range[2] ?? from) - from + 1 }, (_, at) => from + at)
+  return Array.from({ length: Number(range[2] ?? from) - from + 1 }, (_, index) => from + index)
 }
 
 const command = defineCommand({
@@ -48,7 +50,7 @@
   },
   async run({ args }) {
     const results = await runAll(resolveRuns(args), Number(args.parallel))
-    const summary = summaryOf(results)
+    const summary = summarise(results)
     console.log(args.json ? JSON.stringify(summary) : summary)
     process.exit(summary.violations > 0 ? 1 : 0)
   },
@@ -62,7 +64,7 @@
   regressions?: boolean | undefined
 }
 
-/** The seeds to run, each with its options. */
+/** The options of each seed to run. */
 function resolveRuns({
   seeds,
   seconds,
@@ -74,10 +76,10 @@
     seconds: Number(seconds),
     boxes: Number(boxes),
     callers: Number(callers),
-    program: PROGRAM,
+    program: BOX_PROGRAM,
   }
-  if (!regressions) return readRange(seeds).map(seed => ({ ...common, seed }))
-  const known = JSON.parse(readFileSync(REGRESSIONS, 'utf8')) as Regression[]
+  if (!regressions) return parseSeedRange(seeds).map(seed => ({ ...common, seed }))
+  const known = JSON.parse(readFileSync(REGRESSIONS_FILE, 'utf8')) as Regression[]
   return known.map(regression => ({
     ...common,
     seed: regression.seed,
@@ -86,21 +88,21 @@
   }))
 }
 
-/** Runs some seeds at the same time, and tells of each when it has ended. */
+/** Runs the seeds, `parallel` at a time, and prints each result. */
 async function runAll(runs: SeedOptions[], parallel: number): Promise<SeedResult[]> {
   const results: SeedResult[] = []
-  const work = async () => {
+  const worker = async () => {
     for (let options = runs.shift(); options; options = runs.shift()) {
       const result = await runSeed(options)
       results.push(result)
       report(result)
     }
   }
-  await Promise.all(Array.from({ length: parallel }, work))
+  await Promise.all(Array.from({ length: parallel }, worker))
   return results
 }
 
-function summaryOf(results: readonly SeedResult[]) {
+function summarise(results: readonly SeedResult[]) {
   const sum = (of: (result: SeedResult) => number) =>
     results.reduce((total, result) => total + of(result), 0)
   const failed = results.filter(({ violations }) => violations.length > 0)
@@ -119,7 +121,7 @@
   console.log(
     `seed ${seed}: ${requests} requests, ${served} served, ${faults} faults, ${killed} killed`,
   )
-  for (const { promise, detail } of violations) console.log(`  ${promise}: ${detail}`)
+  for (const { guarantee, detail } of violations) console.log(`  ${guarantee}: ${detail}`)
   if (violations.length === 0) return
   const file = join(tmpdir(), `yewkeel-soak-${seed}.log`)
   writeFileSync(file, Object.values(outputs).join('\n'))
--- a/packages/soak/src/runSeed.ts
+++ b/packages/soak/src/runSeed.ts
@@ -8,10 +8,10 @@
 import { Evidence } from './checks/evidence.js'
 import { findViolations } from './checks/promises.js'
 import type { FaultSpan, Violation } from './checks/seen.js'
-import { FAULT_KINDS, PLANNED, type BoxWorld, type World } from './faults/faultKinds.js'
+import { FAULT_KINDS, PLANNED_CHANGES, type ProxiedBox, type World } from './faults/faultKinds.js'
 import { startLoopbackProxy } from './faults/loopbackProxy.js'
 import { planFaults, type PlannedFault } from './faults/planFaults.js'
-import { createBoxProcess, freePorts, type SoakBox } from './world/boxProcess.js'
+import { createBoxProcess, findFreePorts, type SoakBox } from './world/boxProcess.js'
 import { Callers, type CallerTarget } from './world/callers.js'
 import {
   Crashes,
@@ -29,17 +29,17 @@
   seconds: number
   boxes: number
   callers: number
-  /** The bundle that runs as a box. */
+  /** Path of the program that runs as a box. */
   program: string
-  /** Makes a box; tests put one that breaks a promise in its place. */
+  /** Defaults to a process of `program`. */
   createBox?: typeof createBoxProcess
-  /** In place of the seed's own plan. */
+  /** Replaces the faults planned for the seed. */
   plan?: readonly PlannedFault[]
-  /** In place of the seed's own roll-out, if it has one. */
+  /** Replaces the rollout planned for the seed, if any. */
   rollout?: PlannedRollout
-  /** In place of the seed's own crashes, if it has some. */
+  /** Replaces the crashes planned for the seed, if any. */
   crashes?: PlannedCrashes
-  /** In place of what upstreams say of themselves in the seed. */
+  /** Replaces the statements of upstreams planned for the seed. */
   statements?: readonly PlannedStatement[]
 }
 
@@ -48,14 +48,14 @@
   requests: number
   served: number
   faults: number
-  /** Upstreams that ended under a request that ends whoever runs it. */
+  /** Upstreams that crashed under a poison request. */
   killed: number
   violations: Violation[]
-  /** What the boxes wrote, by box, for a seed that failed. */
+  /** Output of each box; empty if there were no violations. */
   outputs: Record<string, string>
 }
 
-/** Bounds of the sites, a little shorter so that a run is. */
+/** Shorter than those of the sites, to keep runs short. */
 const BOUNDS: DeploymentBounds = {
   keyRevocation: 5_000,
   newsWithin: 2_000,
@@ -68,17 +68,17 @@
   rollBackWithin: 5_000,
 }
 const DATA_CENTRES = ['ebene', 'curepipe', 'rose-hill']
-const UPSTREAMS = ['pool', 'pool', 'pool', 'pool', 'desk', 'desk', 'desk-2', 'desk-2']
-/** Boxes have found each other and callers have addresses, in ms. */
+const UPSTREAM_SERVICES = ['pool', 'pool', 'pool', 'pool', 'desk', 'desk', 'desk-2', 'desk-2']
+/** Time for boxes to discover each other and for callers to get addresses. */
 const WARM_UP_MS = 1_500
-/** Everything works again, and is judged by that, in ms. */
-const CALM_MS = 7_000
-/** Part of the attempts with a key that was taken away. */
-const STALE_KEY_SHARE = 0.05
+/** Time without faults at the end, in which the boxes must recover. */
+const FAULT_FREE_MS = 7_000
+/** Fraction of the attempts that use a revoked key. */
+const REVOKED_KEY_FRACTION = 0.05
 
 const sleep = (span: number) => new Promise(resolve => setTimeout(resolve, span))
 
-/** Runs boxes, upstreams and callers under the faults of one seed and says which promises were not kept. */
+/** Runs boxes, upstreams and callers under the faults of one seed and reports violations. */
 export async function runSeed(options: SeedOptions): Promise<SeedResult> {
   const { seed, seconds } = options
   const random = createSeededRandom(seed)
@@ -86,10 +86,10 @@
   const { now } = createSystemClock()
   const rows = await startRowsStandIn({ pageSize: 100, feedsWait: true })
   const operators = createOperators(rows, evidence, now)
-  const upstreams = new Upstreams({ host: hostOf(seed, 0), rows, random, evidence, now })
-  for (const service of UPSTREAMS) await upstreams.add(service)
+  const upstreams = new Upstreams({ host: loopbackAddress(seed, 0), rows, random, evidence, now })
+  for (const service of UPSTREAM_SERVICES) await upstreams.add(service)
   const { boxes, targets } = await startBoxes(options, rows.address)
-  const key = () => operators.keyFor(random)
+  const key = () => operators.pickKey(random)
   const callers = new Callers({ count: options.callers, seed, random, targets, evidence, key, now })
   const plan = options.plan ?? planFaults(random, seconds * 1_000)
   const planned = options.rollout ?? planRollout(seed, seconds)
@@ -111,13 +111,13 @@
     crashes?.start()
     statements.start()
     await injectFaults(plan, { boxes, upstreams, rows, random, ...operators }, evidence, now)
-    evidence.calmFrom = now()
-    await sleep(CALM_MS)
+    evidence.faultsEndedAt = now()
+    await sleep(FAULT_FREE_MS)
     crashes?.stop()
     statements.stop()
     rollout?.stop()
     await callers.stop()
-    evidence.lastListed = new Set(upstreams.places.map(({ standIn }) => standIn.instance))
+    evidence.finalInstances = new Set(upstreams.slots.map(({ standIn }) => standIn.instance))
   } finally {
     for (const { process, callerProxy, storeProxy } of boxes) {
       await process.dispose()
@@ -134,7 +134,7 @@
   seed: number,
   faults: number,
   evidence: Evidence,
-  boxes: readonly BoxWorld[],
+  boxes: readonly ProxiedBox[],
 ): SeedResult {
   const violations = findViolations(evidence, BOUNDS)
   const attempts = [...evidence.attempts.values()]
@@ -144,38 +144,41 @@
     requests: attempts.length,
     served: attempts.filter(({ end }) => end?.status === 200 && end.isWhole).length,
     faults,
-    killed: evidence.killers.crashes.length,
+    killed: evidence.poisonRequests.crashes.length,
     violations,
     outputs: violations.length > 0 ? Object.fromEntries(outputs) : {},
   }
 }
 
-/** Loopback addresses of a seed's own, so that several seeds run at the same time. */
-function hostOf(seed: number, box: number): string {
+/** A loopback address that differs by process, seed and box, so that seeds can run in parallel. */
+function loopbackAddress(seed: number, box: number): string {
   return `127.${1 + (process.pid % 250)}.${seed % 256}.${1 + box}`
 }
 
-/** In every third of these seeds a paused box is one whose machine is suspended. */
-function isSuspendedIn(seed: number): boolean {
+/**
+ * Whether a pause of a box simulates a suspension of its machine. Lower seeds never do, so that
+ * regressions replay unchanged.
+ */
+function pausesAsSuspension(seed: number): boolean {
   return seed >= FIRST_SEED_WITH_CRASHES && seed % 3 === 0
 }
 
 async function startBoxes(
   { seed, boxes: count, program, createBox = createBoxProcess }: SeedOptions,
   storeAddress: string,
-): Promise<{ boxes: BoxWorld[]; targets: CallerTarget[] }> {
-  const boxes: BoxWorld[] = []
+): Promise<{ boxes: ProxiedBox[]; targets: CallerTarget[] }> {
+  const boxes: ProxiedBox[] = []
   const targets: CallerTarget[] = []
   for (let index = 0; index < count; index++) {
-    const ip = hostOf(seed, 1 + index)
-    const [entry, readiness, directory, peers] = await freePorts(ip, 4)
+    const ip = loopbackAddress(seed, 1 + index)
+    const [entry, readiness, directory, peers] = await findFreePorts(ip, 4)
     const ports = { entry: entry!, readiness: readiness!, directory: directory!, peers: peers! }
     const storeProxy = await startLoopbackProxy(ip, () => storeAddress)
     const callerProxy = await startLoopbackProxy(ip, () => `${ip}:${entry}`)
     const dataCentre = DATA_CENTRES[index % DATA_CENTRES.length]!
     const box = `box-${index}`
     const place = { box, dataCentre, ip, ports, storeAddress: storeProxy.address }
-    const process: SoakBox = createBox(program, place, BOUNDS, isSuspendedIn(seed))
+    const process: SoakBox = createBox(program, place, BOUNDS, pausesAsSuspension(seed))
     process.start()
     boxes.push({ process, callerProxy, storeProxy })
     targets.push({
@@ -188,7 +191,7 @@
   return { boxes, targets }
 }
 
-/** The operators: keys that come and go, and a route that moves between two services. */
+/** Writes the configuration: rotates the API key and moves a route between two services. */
 function createOperators(
   rows: Awaited<ReturnType<typeof startRowsStandIn>>,
   evidence: Evidence,
@@ -197,31 +200,31 @@
   let version = 1
   let key = 'key-1'
   let service = 'desk'
-  const taken: string[] = []
+  const revoked: string[] = []
   const write = () => rows.put(...CONFIGURATION_ROW, writeConfiguration(++version, [key], service))
   write()
   return {
-    keyFor: (random: Random) =>
-      taken.length > 0 && random() < STALE_KEY_SHARE
-        ? taken[Math.floor(random() * taken.length)]!
+    pickKey: (random: Random) =>
+      revoked.length > 0 && random() < REVOKED_KEY_FRACTION
+        ? revoked[Math.floor(random() * revoked.length)]!
         : key,
     changeKey() {
-      const before = key
+      const previousKey = key
       key = `key-${version + 1}`
       write()
-      taken.push(before)
-      evidence.keyChanges.push({ key: before, takenAwayAt: now() })
+      revoked.push(previousKey)
+      evidence.keyRevocations.push({ key: previousKey, revokedAt: now() })
     },
     moveRoute() {
-      const before = service
-      service = before === 'desk' ? 'desk-2' : 'desk'
+      const previousService = service
+      service = previousService === 'desk' ? 'desk-2' : 'desk'
       write()
-      evidence.routeMoves.push({ service, before, at: now() })
+      evidence.routeMoves.push({ service, previousService, at: now() })
     },
   }
 }
 
-/** Each fault of the plan begins at its time and ends after its own, whatever the others do. */
+/** Injects the planned faults, which may overlap, and resolves when all have ended. */
 async function injectFaults(
   plan: readonly PlannedFault[],
   world: World,
@@ -233,12 +236,12 @@
   for (const fault of plan) {
     await sleep(startedAt + fault.at - now())
     const span: FaultSpan = { kind: fault.kind, from: now(), until: Infinity }
-    if (!PLANNED.has(fault.kind)) evidence.faults.push(span)
-    const strike = await FAULT_KINDS[fault.kind]!(world)
-    if (strike.box !== undefined) span.box = strike.box
+    if (!PLANNED_CHANGES.has(fault.kind)) evidence.faults.push(span)
+    const activeFault = await FAULT_KINDS[fault.kind]!(world)
+    if (activeFault.box !== undefined) span.box = activeFault.box
     ends.push(
-      sleep(fault.lasts).then(async () => {
-        await strike.end()
+      sleep(fault.duration).then(async () => {
+        await activeFault.end()
         span.until = now()
       }),
     )
--- a/packages/soak/src/world/boxProcess.ts
+++ b/packages/soak/src/world/boxProcess.ts
@@ -6,30 +6,33 @@
 import { fileURLToPath } from 'node:url'
 import { writeSettings, type BoxPlace, type DeploymentBounds } from '@yewkeel/platform/stand-ins'
 
-/** A box as the soak handles it. */
+/** A box that the soak starts and injects faults into. */
 export interface SoakBox {
   box: string
   place: BoxPlace
   start(): void
-  /** Resolves once the process is gone. */
+  /** Stops it in the planned way (SIGTERM); resolves once the process has exited. */
   stop(): Promise<void>
+  /** Resolves once the process has exited. */
   kill(): Promise<void>
   pause(): void
   resume(): void
+  /** Makes it read its settings again. */
   reload(): void
-  /** Lines that it wrote, the newest last. */
+  /** The end of its stdout and stderr, interleaved. */
   output(): string
-  /** Ends it for good and removes what it left. */
+  /** Kills it, removes its files and prevents further starts. */
   dispose(): Promise<void>
 }
 
-/** Makes a box take a pause for a suspension of its machine. */
-const SUSPENDABLE = fileURLToPath(new URL('../../../suspendable.cjs', import.meta.url))
-const OUTPUT_KEPT = 200_000
+/** Preloaded module that stops the monotonic clock of a paused process. */
+const SUSPENDABLE_CLOCK = fileURLToPath(new URL('../../../suspendable.cjs', import.meta.url))
+/** Characters. */
+const MAX_OUTPUT_LENGTH = 200_000
 
 /**
- * A box's program as a process of its own, with settings in a folder of its own. `isSuspended`: its steady clock stands still
- * while it is paused.
+ * Creates a box that runs `program` as a child process with its own settings file. `isSuspended`: a
+ * pause simulates a suspension of the machine, so the monotonic clock stops.
  */
 export function createBoxProcess(
   program: string,
@@ -41,51 +44,51 @@
   const file = join(folder, 'settings.toml')
   writeFileSync(file, writeSettings(place, bounds))
   let child: ChildProcess | undefined
-  let ended = Promise.resolve()
+  let exited = Promise.resolve()
   let isDisposed = false
   let output = ''
 
-  const end = async (signal: NodeJS.Signals): Promise<void> => {
+  const terminate = async (signal: NodeJS.Signals): Promise<void> => {
     child?.kill(signal)
-    // A paused process takes no signal but this one.
+    // A stopped process handles a signal only after SIGCONT.
     child?.kill('SIGCONT')
-    await ended
+    await exited
   }
   return {
     box: place.box,
     place,
     start() {
-      // Faults overlap: two of them may both start the box again.
+      // Overlapping faults may each restart the box.
       const isRunning = child && child.exitCode === null && child.signalCode === null
       if (isRunning || isDisposed) return
-      const preloaded = isSuspended ? ['--require', SUSPENDABLE] : []
-      const started = spawn(process.execPath, [...preloaded, program], {
+      const preload = isSuspended ? ['--require', SUSPENDABLE_CLOCK] : []
+      const spawned = spawn(process.execPath, [...preload, program], {
         stdio: ['ignore', 'pipe', 'pipe'],
         env: { ...process.env, YEWKEEL_BOOT: file },
       })
-      child = started
-      const keep = (bytes: Buffer) =>
-        void (output = (output + bytes.toString()).slice(-OUTPUT_KEPT))
-      started.stdout.on('data', keep)
-      started.stderr.on('data', keep)
-      ended = new Promise(resolve => started.once('exit', () => resolve()))
+      child = spawned
+      const append = (bytes: Buffer) =>
+        void (output = (output + bytes.toString()).slice(-MAX_OUTPUT_LENGTH))
+      spawned.stdout.on('data', append)
+      spawned.stderr.on('data', append)
+      exited = new Promise(resolve => spawned.once('exit', () => resolve()))
     },
-    stop: () => end('SIGTERM'),
-    kill: () => end('SIGKILL'),
+    stop: () => terminate('SIGTERM'),
+    kill: () => terminate('SIGKILL'),
     pause: () => void child?.kill('SIGSTOP'),
     resume: () => void child?.kill('SIGCONT'),
     reload: () => void child?.kill('SIGHUP'),
     output: () => output,
     async dispose() {
       isDisposed = true
-      await end('SIGKILL')
+      await terminate('SIGKILL')
       rmSync(folder, { recursive: true })
     },
   }
 }
 
-/** Ports that are free on an address now. */
-export async function freePorts(ip: string, count: number): Promise<number[]> {
+/** Finds ports that are free on an address at the moment. */
+export async function findFreePorts(ip: string, count: number): Promise<number[]> {
   const servers = await Promise.all(
     Array.from({ length: count }, async () => {
       const server = createServer()
--- a/packages/soak/src/world/callers.ts
+++ b/packages/soak/src/world/callers.ts
@@ -13,12 +13,12 @@
 import type { Evidence } from '../checks/evidence.js'
 import type { Attempt, AttemptEnd } from '../checks/seen.js'
 
-/** A box as callers reach it. */
+/** The addresses (`host:port`) at which callers reach a box. */
 export interface CallerTarget {
   box: string
-  /** What the box tells of itself. */
+  /** The address that directories list. */
   entryAddress: string
-  /** Where its connections go: a proxy before the box. */
+  /** The proxy in front of the entry, to which callers connect. */
   proxyAddress: string
   directoryAddress: string
 }
@@ -29,32 +29,30 @@
   random: Random
   targets: readonly CallerTarget[]
   evidence: Evidence
-  /** The key that callers hold now; now and then one that was taken away. */
+  /** The API key for the next attempt; sometimes a revoked one. */
   key(): string
   now(): number
 }
 
-const KINDS: readonly { kind: AttemptKind; weight: number }[] = [
+const KIND_WEIGHTS: readonly { kind: AttemptKind; weight: number }[] = [
   { kind: 'unsafe', weight: 4 },
   { kind: 'safe', weight: 3 },
   { kind: 'streaming', weight: 3 },
 ]
-/** Pause between two attempts of one caller, in ms. */
-const PAUSE_MS = 40
-/** Callers keep addresses for this long, in ms. */
-const ADDRESSES_KEPT_MS = 2_000
-/** A caller begins another session this often, in ms. */
-const SESSION_MS = 700
-/** Part of the connections that are given up after an answer. */
-const RECONNECT_SHARE = 0.1
+/** Between the end of an attempt and the same caller's next one. */
+const MEAN_ATTEMPT_INTERVAL_MS = 40
+const ADDRESSES_TTL_MS = 2_000
+const SESSION_DURATION_MS = 700
+/** Fraction of the attempts after which the caller closes its connection. */
+const RECONNECT_FRACTION = 0.1
 const DIRECTORY_TIMEOUT_MS = 1_000
-/** Beyond the time of its attempt a caller waits this long, so that a late end is seen, in ms. */
-const GIVES_UP_AFTER_MS = 2_500
+/** Added to an attempt's time limit, so that late answers are recorded. */
+const LATE_ANSWER_TIMEOUT_MS = 2_500
 
-/** Callers that ask for addresses, keep connections open and send attempts until they are stopped. */
+/** Callers that look up boxes in a directory and send attempts until they are stopped. */
 export class Callers {
   #isStopped = false
-  #number = 0
+  #attemptCount = 0
   #loops: Promise<void>[] = []
 
   constructor(private readonly options: CallersOptions) {}
@@ -71,26 +69,32 @@
   async #run(caller: number): Promise<void> {
     const { random, now } = this.options
     let addresses: string[] = []
-    let askedAt = -Infinity
-    let channel: { target: CallerTarget; client: Client } | undefined
+    let fetchedAt = -Infinity
+    let connection: { target: CallerTarget; client: Client } | undefined
     while (!this.#isStopped) {
-      if (now() - askedAt > ADDRESSES_KEPT_MS) {
-        addresses = (await this.#askAddresses()) ?? addresses
-        askedAt = now()
+      if (now() - fetchedAt > ADDRESSES_TTL_MS) {
+        addresses = (await this.#fetchAddresses()) ?? addresses
+        fetchedAt = now()
       }
-      if (channel && (!addresses.includes(channel.target.entryAddress) || channel.client.destroyed))
-        channel = await closeChannel(channel.client)
-      channel ??= this.#openChannel(addresses)
-      if (channel) {
-        const isKept = await this.#attempt(channel, caller)
-        if (!isKept || random() < RECONNECT_SHARE) channel = await closeChannel(channel.client)
+      if (
+        connection &&
+        (!addresses.includes(connection.target.entryAddress) || connection.client.destroyed)
+      )
+        connection = await closeConnection(connection.client)
+      connection ??= this.#openConnection(addresses)
+      if (connection) {
+        const isReusable = await this.#attempt(connection, caller)
+        if (!isReusable || random() < RECONNECT_FRACTION)
+          connection = await closeConnection(connection.client)
       }
-      await new Promise(resolve => setTimeout(resolve, PAUSE_MS * (0.5 + random())))
+      await new Promise(resolve => setTimeout(resolve, MEAN_ATTEMPT_INTERVAL_MS * (0.5 + random())))
     }
-    if (channel) await closeChannel(channel.client)
+    if (connection) await closeConnection(connection.client)
   }
 
-  #openChannel(addresses: readonly string[]): { target: CallerTarget; client: Client } | undefined {
+  #openConnection(
+    addresses: readonly string[],
+  ): { target: CallerTarget; client: Client } | undefined {
     const { targets, random } = this.options
     const known = targets.filter(({ entryAddress }) => addresses.includes(entryAddress))
     const target = known[Math.floor(random() * known.length)]
@@ -99,7 +103,7 @@
     return { target, client }
   }
 
-  async #askAddresses(): Promise<string[] | undefined> {
+  async #fetchAddresses(): Promise<string[] | undefined> {
     const { targets, random } = this.options
     const target = targets[Math.floor(random() * targets.length)]!
     try {
@@ -109,20 +113,20 @@
       const text = await answer.body.text()
       return answer.statusCode === 200 ? readAddresses(text) : undefined
     } catch {
-      // A box that is down or paused does not answer: the addresses known before stay.
+      // The box may be down or paused: the caller keeps the addresses that it has.
       return undefined
     }
   }
 
-  /** False when the connection is of no more use. */
+  /** Sends one attempt and records its end. Returns false if the connection can't be reused. */
   async #attempt(
     { target, client }: { target: CallerTarget; client: Client },
     caller: number,
   ): Promise<boolean> {
     const { evidence, random, now, key, seed } = this.options
-    const kind = pickWeighted(KINDS, ({ weight }) => weight, random)!.kind
+    const kind = pickWeighted(KIND_WEIGHTS, ({ weight }) => weight, random)!.kind
     const attempt: Attempt = {
-      id: `${seed.toString(16)}-${(++this.#number).toString(16)}`,
+      id: `${seed.toString(16)}-${(++this.#attemptCount).toString(16)}`,
       kind,
       key: key(),
       box: target.box,
@@ -130,18 +134,18 @@
       timeLeft: ROUTE_TIMEOUT_MS[kind] + 500,
     }
     evidence.attempts.set(attempt.id, attempt)
-    const session = `${caller}-${Math.floor(now() / SESSION_MS)}`
+    const session = `${caller}-${Math.floor(now() / SESSION_DURATION_MS)}`
     const end = await exchange(client, attempt, session, now)
     attempt.end = end
     return end.isWhole
   }
 }
 
-async function closeChannel(client: Client): Promise<undefined> {
+async function closeConnection(client: Client): Promise<undefined> {
   await client.destroy()
 }
 
-/** Sends an attempt and waits for its end, however it ends. */
+/** Sends an attempt and resolves with its end; never rejects. */
 function exchange(
   client: Client,
   attempt: Attempt,
@@ -173,8 +177,8 @@
           host: HOST,
           ...writeAttempt({ id, key, timeLeft, session, isStream: kind === 'streaming' }),
         },
-        headersTimeout: timeLeft + GIVES_UP_AFTER_MS,
-        bodyTimeout: timeLeft + GIVES_UP_AFTER_MS,
+        headersTimeout: timeLeft + LATE_ANSWER_TIMEOUT_MS,
+        bodyTimeout: timeLeft + LATE_ANSWER_TIMEOUT_MS,
         ...(kind !== 'safe' && { body: 'soak' }),
       },
       handler,
--- a/packages/soak/src/world/crashes.ts
+++ b/packages/soak/src/world/crashes.ts
@@ -5,35 +5,36 @@
 import type { CallerTarget } from './callers.js'
 import type { Upstreams } from './upstreams.js'
 
-/** What ends upstreams in a seed: a request that comes again and again, and other causes. All times in ms. */
+/** Crashes of upstreams: under a repeated poison request and from other causes. Times in ms. */
 export interface PlannedCrashes {
-  killer?: { kind: AttemptKind; every: number; copies: number }
-  /** From the start of the faults: a part of a service's upstreams ends at each. */
-  together: { at: number; service: string; share: number }[]
+  poisonRequest?: { kind: AttemptKind; every: number; copies: number }
+  /** Each crashes a fraction of a service's upstreams. `at`: since the start of fault injection. */
+  simultaneous: { at: number; service: string; share: number }[]
 }
 
-/** Seeds from here on have them; those before are what they were. */
+/** Lower seeds have no crashes, so that regressions replay unchanged. */
 export const FIRST_SEED_WITH_CRASHES = 300
-const SEED_STEP = 104_729
-const KILLER_KINDS: { kind: AttemptKind; weight: number }[] = [
+/** Makes the random sequence differ from that of the seed's faults. */
+const SEED_FACTOR = 104_729
+const POISON_KIND_WEIGHTS: { kind: AttemptKind; weight: number }[] = [
   { kind: 'streaming', weight: 2 },
   { kind: 'safe', weight: 1 },
   { kind: 'unsafe', weight: 1 },
 ]
 const TIME_LEFT_MS = 3_000
 
-/** Every second seed has a killer, every seed some crashes of other causes. */
+/** Plans simultaneous crashes for each seed, and a poison request for every other. */
 export function planCrashes(seed: number, seconds: number): PlannedCrashes | undefined {
   if (seed < FIRST_SEED_WITH_CRASHES) return undefined
-  const random = createSeededRandom(seed * SEED_STEP)
-  const together = Array.from({ length: 3 }, () => ({
+  const random = createSeededRandom(seed * SEED_FACTOR)
+  const simultaneous = Array.from({ length: 3 }, () => ({
     at: seconds * 1_000 * random(),
     service: random() < 0.6 ? 'pool' : 'desk',
     share: 0.3 + 0.5 * random(),
   }))
-  const kind = pickWeighted(KILLER_KINDS, ({ weight }) => weight, random)!.kind
-  const killer = { kind, every: 150 + 900 * random(), copies: random() < 0.3 ? 4 : 1 }
-  return { together, ...(seed % 2 === 1 && { killer }) }
+  const kind = pickWeighted(POISON_KIND_WEIGHTS, ({ weight }) => weight, random)!.kind
+  const poisonRequest = { kind, every: 150 + 900 * random(), copies: random() < 0.3 ? 4 : 1 }
+  return { simultaneous, ...(seed % 2 === 1 && { poisonRequest }) }
 }
 
 export interface CrashesOptions {
@@ -46,23 +47,23 @@
   now(): number
 }
 
-/** Sends the killer to any box, and ends upstreams together, until it is stopped. */
+/** Sends the poison request to random boxes and crashes upstreams as planned. */
 export class Crashes {
   readonly #timers: NodeJS.Timeout[] = []
-  #number = 0
+  #attemptCount = 0
 
   constructor(private readonly options: CrashesOptions) {}
 
   start(): void {
     const { planned, upstreams } = this.options
-    for (const { at, service, share } of planned.together)
-      this.#timers.push(setTimeout(() => void upstreams.crashSome(service, share), at))
-    const { killer } = planned
-    if (!killer) return
+    for (const { at, service, share } of planned.simultaneous)
+      this.#timers.push(setTimeout(() => void upstreams.crashFraction(service, share), at))
+    const { poisonRequest } = planned
+    if (!poisonRequest) return
     const send = () => {
-      for (let copy = 0; copy < killer.copies; copy++) void this.#send(killer.kind)
+      for (let copy = 0; copy < poisonRequest.copies; copy++) void this.#send(poisonRequest.kind)
     }
-    this.#timers.push(setInterval(send, killer.every))
+    this.#timers.push(setInterval(send, poisonRequest.every))
   }
 
   stop(): void {
@@ -72,8 +73,8 @@
   async #send(kind: AttemptKind): Promise<void> {
     const { targets, evidence, random, key } = this.options
     const target = targets[Math.floor(random() * targets.length)]!
-    const id = `killer-${++this.#number}`
-    evidence.killers.boxes.set(id, target.box)
+    const id = `killer-${++this.#attemptCount}`
+    evidence.poisonRequests.boxes.set(id, target.box)
     try {
       const { body } = await request(`http://${target.proxyAddress}${KILLER_PATHS[kind]}`, {
         method: kind === 'safe' ? 'GET' : 'POST',
@@ -92,7 +93,7 @@
       })
       await body.dump()
     } catch {
-      // The box is down or cut off: nobody misses the answer.
+      // The box may be down or cut off; the answer isn't checked.
     }
   }
 }
--- a/packages/soak/src/world/rollout.ts
+++ b/packages/soak/src/world/rollout.ts
@@ -5,55 +5,63 @@
   type VersionFlaw,
 } from '@yewkeel/platform/stand-ins'
 import { createSeededRandom } from '@yewkeel/decisions'
-import type { Evidence, SeenRollout } from '../checks/evidence.js'
-import { FIRST_VERSION, type Upstreams } from './upstreams.js'
+import type { Evidence, ObservedRollout } from '../checks/evidence.js'
+import { INITIAL_VERSION, type Upstreams } from './upstreams.js'
 
-/** What a version that is rolled out is like. */
-export const VERSION_FATES = ['good', 'errors', 'slow', 'late', 'one-route', 'under-load'] as const
-export type VersionFate = (typeof VERSION_FATES)[number]
+/** How a version that is rolled out behaves. `late` degrades during the rollout. */
+export const VERSION_BEHAVIOURS = [
+  'good',
+  'errors',
+  'slow',
+  'late',
+  'one-route',
+  'under-load',
+] as const
+export type VersionBehaviour = (typeof VERSION_BEHAVIOURS)[number]
 
-/** The roll-out of a seed. */
 export interface PlannedRollout {
-  fate: VersionFate
+  behaviour: VersionBehaviour
   service: 'pool' | 'desk'
-  /** Part of the answers that are bad. */
+  /** Fraction of the answers that are bad. */
   share: number
-  /** How many times longer a slow answer takes. */
-  timesLonger: number
-  /** When a version turns bad late, in ms from the order. */
-  turnsBadAfter: number
+  /** How many times longer a bad answer takes if the version is `slow`. */
+  slowdownFactor: number
+  /** When a `late` version degrades, in ms since the order. */
+  degradesAfter: number
   /** In ms. */
   duration: number
 }
 
-/** Shorter runs have none: their seeds are what they were. */
-const LEAST_SECONDS = 14
-const SEED_STEP = 7_919_003
-const LEAST_SHARE = 0.2
-const SHARE_SPAN = 0.4
-const LEAST_TIMES = 3
-const TIMES_SPAN = 5
-/** Requests on one upstream from which it counts as loaded. */
-const LOADED_FROM = 3
-/** The upstreams of a version that was rolled back serve for some time more, in ms. */
-const SERVES_ON_MS = 3_000
-const LOOK_EVERY_MS = 50
+/** Shorter runs have no rollout. */
+const MIN_SECONDS = 14
+/**
+ * Makes neighbouring seeds differ, and the random sequence differ from that of the seed's faults.
+ */
+const SEED_FACTOR = 7_919_003
+const MIN_SHARE = 0.2
+const SHARE_RANGE = 0.4
+const MIN_SLOWDOWN_FACTOR = 3
+const SLOWDOWN_FACTOR_RANGE = 5
+/** Requests in flight on an upstream from which an `under-load` version gives bad answers. */
+const MIN_LOADED_REQUESTS = 3
+/** Between a rollback and the removal of the version's upstreams. */
+const REMOVAL_DELAY_MS = 3_000
+const POLL_INTERVAL_MS = 50
 const TARGET = 'v2'
 
-/** Every long run has a roll-out, from chance of its own so that the seed's faults stay as they were. */
+/** Plans the rollout of a seed; undefined if the run is too short for one. */
 export function planRollout(seed: number, seconds: number): PlannedRollout | undefined {
-  if (seconds < LEAST_SECONDS) return undefined
-  // Chance of neighbouring seeds begins alike.
-  const random = createSeededRandom(seed * SEED_STEP)
-  const fate = VERSION_FATES[seed % VERSION_FATES.length]!
+  if (seconds < MIN_SECONDS) return undefined
+  const random = createSeededRandom(seed * SEED_FACTOR)
+  const behaviour = VERSION_BEHAVIOURS[seed % VERSION_BEHAVIOURS.length]!
   const duration = seconds * 1_000
   return {
-    fate,
-    // Calls of the desk have two routes.
-    service: fate === 'one-route' || random() < 0.3 ? 'desk' : 'pool',
-    share: LEAST_SHARE + SHARE_SPAN * random(),
-    timesLonger: LEAST_TIMES + TIMES_SPAN * random(),
-    turnsBadAfter: duration * random(),
+    behaviour,
+    // Only the desk has two routes.
+    service: behaviour === 'one-route' || random() < 0.3 ? 'desk' : 'pool',
+    share: MIN_SHARE + SHARE_RANGE * random(),
+    slowdownFactor: MIN_SLOWDOWN_FACTOR + SLOWDOWN_FACTOR_RANGE * random(),
+    degradesAfter: duration * random(),
     duration,
   }
 }
@@ -66,75 +74,81 @@
   now(): number
 }
 
-/** The operators order another version; its upstreams start beside the old ones, and one of the two ends as the boxes decide. */
+/**
+ * Orders a rollout, starts the target's upstreams and, once the boxes decide, stops those of the
+ * other version.
+ */
 export class Rollout {
   #timer: NodeJS.Timeout | undefined
-  #ending: NodeJS.Timeout | undefined
+  #removalTimer: NodeJS.Timeout | undefined
 
   constructor(private readonly options: RolloutOptions) {}
 
   async start(): Promise<void> {
     const { planned, rows, upstreams, evidence, now } = this.options
-    const { service, duration, fate } = planned
+    const { service, duration, behaviour } = planned
     const orderedAt = now()
-    const seen: SeenRollout = {
+    const observed: ObservedRollout = {
       service,
       target: TARGET,
-      isBad: fate !== 'good',
+      isBad: behaviour !== 'good',
       orderedAt,
       endsAt: orderedAt + duration,
       flawedAt: [],
     }
-    evidence.rollout = seen
+    evidence.rollout = observed
     writeRollout(rows, service, TARGET, duration)
-    const count = upstreams.places.filter(place => place.service === service).length
+    const count = upstreams.slots.filter(slot => slot.service === service).length
     const flaw = flawOf(
       planned,
-      () => seen.flawedAt.push(now()),
+      () => observed.flawedAt.push(now()),
       () => now() - orderedAt,
     )
     for (let added = 0; added < count; added++) await upstreams.add(service, TARGET, flaw)
-    this.#timer = setInterval(() => this.#look(seen), LOOK_EVERY_MS)
+    this.#timer = setInterval(() => this.#poll(observed), POLL_INTERVAL_MS)
   }
 
-  #look(seen: SeenRollout): void {
+  #poll(observed: ObservedRollout): void {
     const { rows, upstreams } = this.options
-    const { service, target } = seen
+    const { service, target } = observed
     const state = readRolloutState(rows, service)
     if (state === undefined || state === 'active') return
     clearInterval(this.#timer)
-    seen.endState = state
-    if (state === 'completed') return upstreams.removeVersion(service, FIRST_VERSION)
-    this.#ending = setTimeout(() => upstreams.removeVersion(service, target), SERVES_ON_MS)
+    observed.endState = state
+    if (state === 'completed') return upstreams.removeVersion(service, INITIAL_VERSION)
+    this.#removalTimer = setTimeout(
+      () => upstreams.removeVersion(service, target),
+      REMOVAL_DELAY_MS,
+    )
   }
 
   stop(): void {
     clearInterval(this.#timer)
-    clearTimeout(this.#ending)
+    clearTimeout(this.#removalTimer)
   }
 }
 
-/** Late versions are good until they turn bad. */
+/** The flaw of the target's upstreams; undefined for a good version. */
 function flawOf(
-  { fate, share, timesLonger, turnsBadAfter }: PlannedRollout,
+  { behaviour, share, slowdownFactor, degradesAfter }: PlannedRollout,
   onFlawed: () => void,
   sinceOrder: () => number,
 ): VersionFlaw | undefined {
-  const flaws: Record<VersionFate, Partial<VersionFlaw> | undefined> = {
+  const flaws: Record<VersionBehaviour, Partial<VersionFlaw> | undefined> = {
     good: undefined,
     errors: {},
-    slow: { effect: { timesLonger } },
+    slow: { effect: { timesLonger: slowdownFactor } },
     late: {},
     'one-route': { when: 'unsafe' },
-    'under-load': { when: { running: LOADED_FROM } },
+    'under-load': { when: { running: MIN_LOADED_REQUESTS } },
   }
-  const flaw = flaws[fate]
+  const flaw = flaws[behaviour]
   if (!flaw) return undefined
   return {
     effect: 'fails',
     ...flaw,
     get share() {
-      return fate === 'late' && sinceOrder() < turnsBadAfter ? 0 : share
+      return behaviour === 'late' && sinceOrder() < degradesAfter ? 0 : share
     },
     onFlawed,
   }
--- a/packages/soak/src/world/statements.ts
+++ b/packages/soak/src/world/statements.ts
@@ -3,40 +3,47 @@
 import type { Evidence } from '../checks/evidence.js'
 import type { Upstreams } from './upstreams.js'
 
-/** Upstreams of a service say something of themselves for some time. All times in ms, from the start of the faults. */
+/**
+ * A fraction of a service's upstreams (`share`) states a limit, a back-off or a drain in its
+ * answers. `at`: ms since the start of fault injection; `duration` in ms.
+ */
 export interface PlannedStatement {
   at: number
-  lasts: number
+  duration: number
   service: string
   share: number
-  words: UpstreamWords
+  content: UpstreamWords
 }
 
-/** Seeds from here on have them; those before are what they were. */
+/** Lower seeds have no statements, so that regressions replay unchanged. */
 export const FIRST_SEED_WITH_STATEMENTS = 420
-const SEED_STEP = 15_485_863
-const STATEMENTS = 4
-const LEAST_SHARE = 0.25
-/** A desk has two upstreams, one of which is left alone more often than not. */
-const MOST_SHARE = 1
+/** Makes the random sequence differ from that of the seed's faults. */
+const SEED_FACTOR = 15_485_863
+const STATEMENTS_PER_SEED = 4
+const MIN_SHARE = 0.25
+const MAX_SHARE = 1
 
-const WORDS: readonly ((random: Random) => UpstreamWords)[] = [
+/** `limit` in requests a second, `rest` in seconds. */
+const CONTENT_GENERATORS: readonly ((random: Random) => UpstreamWords)[] = [
   random => ({ limit: Number((0.3 + 5 * random()).toFixed(1)) }),
   random => ({ limit: Number((10 + 40 * random()).toFixed(1)) }),
   random => ({ rest: Number((0.2 + 3 * random()).toFixed(2)) }),
   () => ({ isLeaving: true }),
 ]
 
-/** Some statements for each seed, that overlap: what one says first may be followed by another. */
+/**
+ * Plans the statements of a seed. They may overlap; a later one replaces the same field of an
+ * earlier one.
+ */
 export function planStatements(seed: number, seconds: number): PlannedStatement[] {
   if (seed < FIRST_SEED_WITH_STATEMENTS) return []
-  const random = createSeededRandom(seed * SEED_STEP)
-  return Array.from({ length: STATEMENTS }, () => ({
+  const random = createSeededRandom(seed * SEED_FACTOR)
+  return Array.from({ length: STATEMENTS_PER_SEED }, () => ({
     at: 0.6 * seconds * 1_000 * random(),
-    lasts: seconds * 1_000 * (0.3 + 0.4 * random()),
+    duration: seconds * 1_000 * (0.3 + 0.4 * random()),
     service: random() < 0.6 ? 'pool' : 'desk',
-    share: LEAST_SHARE + (MOST_SHARE - LEAST_SHARE) * random(),
-    words: WORDS[Math.floor(random() * WORDS.length)]!(random),
+    share: MIN_SHARE + (MAX_SHARE - MIN_SHARE) * random(),
+    content: CONTENT_GENERATORS[Math.floor(random() * CONTENT_GENERATORS.length)]!(random),
   }))
 }
 
@@ -47,7 +54,7 @@
   now(): number
 }
 
-/** Lets upstreams say what is planned. */
+/** Makes upstreams send the planned statements. */
 export class Statements {
   readonly #timers: NodeJS.Timeout[] = []
 
@@ -62,24 +69,24 @@
     for (const timer of this.#timers) clearTimeout(timer)
   }
 
-  #begin({ service, share, words, lasts }: PlannedStatement): void {
+  #begin({ service, share, content, duration }: PlannedStatement): void {
     const { upstreams, evidence, now } = this.options
-    const members = upstreams.places.filter(place => place.service === service)
-    // A service of which all upstreams leave has nobody left to come.
-    const most = words.isLeaving ? 1 : Math.ceil(share * members.length)
-    for (const place of members.slice(0, most)) {
-      const { standIn } = place
-      Object.assign(standIn.says, words)
-      const span = { instance: standIn.instance, words, from: now(), until: Infinity }
-      evidence.statements.push(span)
-      if (words.isLeaving) void upstreams.leaveSilently(place)
-      else this.#timers.push(setTimeout(() => this.#end(standIn.says, span, words), lasts))
+    const members = upstreams.slots.filter(slot => slot.service === service)
+    // Draining all upstreams of a service would leave none.
+    const count = content.isLeaving ? 1 : Math.ceil(share * members.length)
+    for (const slot of members.slice(0, count)) {
+      const { standIn } = slot
+      Object.assign(standIn.says, content)
+      const span = { instance: standIn.instance, content, from: now(), until: Infinity }
+      evidence.statementSpans.push(span)
+      if (content.isLeaving) void upstreams.drainSilently(slot)
+      else this.#timers.push(setTimeout(() => this.#end(standIn.says, span, content), duration))
     }
   }
 
-  #end(says: UpstreamWords, span: { until: number }, words: UpstreamWords): void {
+  #end(says: UpstreamWords, span: { until: number }, content: UpstreamWords): void {
     span.until = this.options.now()
-    for (const [name, value] of Object.entries(words) as [keyof UpstreamWords, unknown][])
+    for (const [name, value] of Object.entries(content) as [keyof UpstreamWords, unknown][])
       if (says[name] === value) delete says[name]
   }
 }
--- a/packages/soak/src/world/upstreams.ts
+++ b/packages/soak/src/world/upstreams.ts
@@ -10,8 +10,8 @@
 import type { Evidence } from '../checks/evidence.js'
 import { startLoopbackProxy, type LoopbackProxy } from '../faults/loopbackProxy.js'
 
-/** A place where one upstream runs after the other, behind a proxy. */
-export interface UpstreamPlace {
+/** A slot in which upstream processes run one after the other, behind a proxy. */
+export interface UpstreamSlot {
   service: string
   version: string
   standIn: ServiceStandIn
@@ -26,129 +26,122 @@
   now(): number
 }
 
-/** An upstream writes its row this often, in ms. */
-const ROW_EVERY_MS = 1_200
-/** How long one that leaves serves on after it said so, in ms. */
-const SERVES_ON_MS = 4_500
-/** How long a place is down after its process has ended, in ms. */
-const DOWN_MS = 1_500
+/** How often an upstream writes its row. */
+const ROW_INTERVAL_MS = 1_200
+/** How long an upstream serves after it has announced that it drains. */
+const DRAIN_DURATION_MS = 4_500
+/** How long a slot is down after a crash. */
+const RESTART_DELAY_MS = 1_500
 
-/** The version that every service has at first. */
-export const FIRST_VERSION = 'v1'
+/** The version of every service when the run starts. */
+export const INITIAL_VERSION = 'v1'
 
 /** The upstreams behind the boxes, with their rows in the store. */
 export class Upstreams {
-  readonly places: UpstreamPlace[] = []
+  readonly slots: UpstreamSlot[] = []
   readonly #instances = new Map<string, ServiceStandIn>()
   readonly #timer: NodeJS.Timeout
-  #count = 0
+  #instanceCount = 0
   #sequence = 0
-  readonly #down = new Set<UpstreamPlace>()
+  readonly #down = new Set<UpstreamSlot>()
   #isClosed = false
 
   constructor(private readonly options: UpstreamsOptions) {
-    this.#timer = setInterval(() => this.#writeRows(), ROW_EVERY_MS)
+    this.#timer = setInterval(() => this.#writeRows(), ROW_INTERVAL_MS)
   }
 
-  /** `flaw`: what is wrong with every upstream of the version. */
-  async add(service: string, version = FIRST_VERSION, flaw?: VersionFlaw): Promise<void> {
+  /** Adds a slot and starts its first upstream. `flaw` applies to all upstreams of the slot. */
+  async add(service: string, version = INITIAL_VERSION, flaw?: VersionFlaw): Promise<void> {
     const standIn = await this.#startInstance(service, version)
     standIn.flaw = flaw
-    const place: Omit<UpstreamPlace, 'proxy'> = { service, version, standIn }
-    const proxy = await startLoopbackProxy(this.options.host, () => place.standIn.address)
-    this.places.push(Object.assign(place, { proxy }))
-    this.#writeRow(this.places.at(-1)!, 'ready')
+    const slot: Omit<UpstreamSlot, 'proxy'> = { service, version, standIn }
+    const proxy = await startLoopbackProxy(this.options.host, () => slot.standIn.address)
+    this.slots.push(Object.assign(slot, { proxy }))
+    this.#writeRow(this.slots.at(-1)!, 'ready')
   }
 
-  /** It ends without a word, and another one starts in its place. */
-  async crash(place: UpstreamPlace): Promise<void> {
-    const gone = place.standIn
-    gone.crash()
-    place.standIn = await this.#startNext(place)
-    this.options.rows.remove(UPSTREAMS_TABLE, gone.instance)
-    this.#writeRow(place, 'ready')
+  /** Crashes the upstream of a slot; its successor starts at once behind the same address. */
+  async crash(slot: UpstreamSlot): Promise<void> {
+    const crashed = slot.standIn
+    crashed.crash()
+    slot.standIn = await this.#startSuccessor(slot)
+    this.options.rows.remove(UPSTREAMS_TABLE, crashed.instance)
+    this.#writeRow(slot, 'ready')
   }
 
-  /** Its process ends, and its port is dead; another one starts at another some time later. */
-  async #end(place: UpstreamPlace): Promise<void> {
-    if (this.#down.has(place)) return
-    this.#down.add(place)
-    const gone = place.standIn
-    gone.crash()
-    place.proxy.close()
-    await new Promise(resolve => setTimeout(resolve, DOWN_MS))
+  /** Crashes the upstream of a slot; its successor starts after a delay, at another address. */
+  async #crashAndRestart(slot: UpstreamSlot): Promise<void> {
+    if (this.#down.has(slot)) return
+    this.#down.add(slot)
+    const crashed = slot.standIn
+    crashed.crash()
+    slot.proxy.close()
+    await new Promise(resolve => setTimeout(resolve, RESTART_DELAY_MS))
     if (this.#isClosed) return
-    place.standIn = await this.#startNext(place)
-    place.proxy = await startLoopbackProxy(this.options.host, () => place.standIn.address)
-    this.options.rows.remove(UPSTREAMS_TABLE, gone.instance)
-    this.#down.delete(place)
-    this.#writeRow(place, 'ready')
+    slot.standIn = await this.#startSuccessor(slot)
+    slot.proxy = await startLoopbackProxy(this.options.host, () => slot.standIn.address)
+    this.options.rows.remove(UPSTREAMS_TABLE, crashed.instance)
+    this.#down.delete(slot)
+    this.#writeRow(slot, 'ready')
   }
 
-  /** A part of a service's upstreams ends at the same moment. */
-  async crashSome(service: string, share: number): Promise<void> {
-    const members = this.places.filter(place => place.service === service)
-    const struck = members.slice(0, Math.max(1, Math.floor(members.length * share)))
-    await Promise.all(struck.map(place => this.#end(place)))
+  /** Crashes a fraction of a service's upstreams at once, at least one. */
+  async crashFraction(service: string, share: number): Promise<void> {
+    const members = this.slots.filter(slot => slot.service === service)
+    const affected = members.slice(0, Math.max(1, Math.floor(members.length * share)))
+    await Promise.all(affected.map(slot => this.#crashAndRestart(slot)))
   }
 
-  /** The upstream that runs a killer ends. */
-  #kill(instance: string, id: string): void {
-    const place = this.places.find(({ standIn }) => standIn.instance === instance)
-    if (!place) return
+  /** Crashes the upstream that executes a poison request. */
+  #crashPoisoned(instance: string, id: string): void {
+    const slot = this.slots.find(({ standIn }) => standIn.instance === instance)
+    if (!slot) return
     const { evidence, now } = this.options
-    evidence.killers.crashes.push({ id, at: now() })
-    void this.#end(place)
+    evidence.poisonRequests.crashes.push({ id, at: now() })
+    void this.#crashAndRestart(slot)
   }
 
-  /** It says that it leaves, serves on, and ends; another one starts beside it. */
-  async replace(place: UpstreamPlace): Promise<void> {
+  /** Drains the upstream of a slot, announced in its row, and starts its successor. */
+  async replace(slot: UpstreamSlot): Promise<void> {
     const { rows, evidence, now } = this.options
-    const leaving = place.standIn
-    const proxy = await startLoopbackProxy(this.options.host, () => leaving.address)
+    const draining = slot.standIn
+    const proxy = await startLoopbackProxy(this.options.host, () => draining.address)
     rows.put(
       UPSTREAMS_TABLE,
-      leaving.instance,
-      writeUpstream(place.service, place.version, proxy.address, 'draining', ++this.#sequence),
+      draining.instance,
+      writeUpstream(slot.service, slot.version, proxy.address, 'draining', ++this.#sequence),
     )
-    evidence.leavings.push({ instance: leaving.instance, at: now() })
-    await this.#succeed(place, proxy)
+    evidence.drains.push({ instance: draining.instance, at: now() })
+    await this.#handOver(slot, proxy)
   }
 
-  /** Its answers alone say that it leaves; it serves on and ends, and another one starts beside it. */
-  async leaveSilently(place: UpstreamPlace): Promise<void> {
+  /** Like `replace`, but the row stays `ready`: only the upstream's answers state the drain. */
+  async drainSilently(slot: UpstreamSlot): Promise<void> {
     const { rows } = this.options
-    const leaving = place.standIn
-    const proxy = await startLoopbackProxy(this.options.host, () => leaving.address)
-    const row = writeUpstream(
-      place.service,
-      place.version,
-      proxy.address,
-      'ready',
-      ++this.#sequence,
-    )
-    rows.put(UPSTREAMS_TABLE, leaving.instance, row)
-    await this.#succeed(place, proxy)
+    const draining = slot.standIn
+    const proxy = await startLoopbackProxy(this.options.host, () => draining.address)
+    const row = writeUpstream(slot.service, slot.version, proxy.address, 'ready', ++this.#sequence)
+    rows.put(UPSTREAMS_TABLE, draining.instance, row)
+    await this.#handOver(slot, proxy)
   }
 
-  /** Another one starts in its place; it serves on for some time and ends. */
-  async #succeed(place: UpstreamPlace, proxy: LoopbackProxy): Promise<void> {
-    const leaving = place.standIn
-    place.standIn = await this.#startNext(place)
-    this.#writeRow(place, 'ready')
+  /** Starts the successor of a slot's upstream, which then drains behind `proxy` and exits. */
+  async #handOver(slot: UpstreamSlot, proxy: LoopbackProxy): Promise<void> {
+    const draining = slot.standIn
+    slot.standIn = await this.#startSuccessor(slot)
+    this.#writeRow(slot, 'ready')
     setTimeout(() => {
-      this.options.rows.remove(UPSTREAMS_TABLE, leaving.instance)
-      leaving.crash()
+      this.options.rows.remove(UPSTREAMS_TABLE, draining.instance)
+      draining.crash()
       proxy.close()
-    }, SERVES_ON_MS)
+    }, DRAIN_DURATION_MS)
   }
 
-  /** All upstreams of a version end at once. */
+  /** Stops all upstreams of a version at once and removes their slots. */
   removeVersion(service: string, version: string): void {
-    const isRemoved = (place: UpstreamPlace) =>
-      place.service === service && place.version === version
-    const removed = this.places.filter(isRemoved)
-    this.places.splice(0, Infinity, ...this.places.filter(place => !isRemoved(place)))
+    const isRemoved = (slot: UpstreamSlot) => slot.service === service && slot.version === version
+    const removed = this.slots.filter(isRemoved)
+    this.slots.splice(0, Infinity, ...this.slots.filter(slot => !isRemoved(slot)))
     for (const { standIn, proxy } of removed) {
       this.options.rows.remove(UPSTREAMS_TABLE, standIn.instance)
       standIn.crash()
@@ -159,12 +152,12 @@
   close(): void {
     this.#isClosed = true
     clearInterval(this.#timer)
-    for (const { proxy } of this.places) proxy.close()
+    for (const { proxy } of this.slots) proxy.close()
     for (const instance of this.#instances.values()) instance.crash()
   }
 
-  /** The next upstream of a place: another process of the same version. */
-  async #startNext({ service, version, standIn }: UpstreamPlace): Promise<ServiceStandIn> {
+  /** Starts another process of the slot's version with the same flaw. */
+  async #startSuccessor({ service, version, standIn }: UpstreamSlot): Promise<ServiceStandIn> {
     const next = await this.#startInstance(service, version)
     next.flaw = standIn.flaw
     return next
@@ -172,25 +165,26 @@
 
   async #startInstance(service: string, version: string): Promise<ServiceStandIn> {
     const { host, random, evidence, now } = this.options
-    const instance = `i-${service}-${++this.#count}`
+    const instance = `i-${service}-${++this.#instanceCount}`
     const standIn = await startServiceStandIn({
       instance,
       host,
       random,
       onArrival: id => void evidence.arrivals.push({ id, service, version, instance, at: now() }),
-      onRun: run => evidence.noteRun({ ...run, service, at: now() }),
-      onKiller: id => this.#kill(instance, id),
-      onSaid: (id, words) => void evidence.said.push({ instance, id, words, at: now() }),
+      onRun: run => evidence.recordExecution({ ...run, service, at: now() }),
+      onKiller: id => this.#crashPoisoned(instance, id),
+      onSaid: (id, content) =>
+        void evidence.statementAnswers.push({ instance, id, content, at: now() }),
     })
     this.#instances.set(instance, standIn)
     return standIn
   }
 
   #writeRows(): void {
-    for (const place of this.places) if (!this.#down.has(place)) this.#writeRow(place, 'ready')
+    for (const slot of this.slots) if (!this.#down.has(slot)) this.#writeRow(slot, 'ready')
   }
 
-  #writeRow({ service, version, standIn, proxy }: UpstreamPlace, state: 'ready'): void {
+  #writeRow({ service, version, standIn, proxy }: UpstreamSlot, state: 'ready'): void {
     const row = writeUpstream(service, version, proxy.address, state, ++this.#sequence)
     this.options.rows.put(UPSTREAMS_TABLE, standIn.instance, row)
   }
--- a/packages/soak/suspendable.cjs
+++ b/packages/soak/suspendable.cjs
@@ -1,19 +1,19 @@
 /**
- * Loaded into a box before its program: its steady clock stands still while the process is stopped, as it does while a machine is
- * suspended. The boot clock and the time of day go on.
+ * Preloaded into a box to simulate a suspension of its machine: `performance.now` doesn't advance
+ * while the process is stopped. The boot clock and the time of day do.
  */
-const LOOK_EVERY = 50
-/** A box that is merely busy looks again sooner. Milliseconds. */
-const STOPPED_FROM = 700
+const CHECK_INTERVAL_MS = 50
+/** Longer gaps between checks count as a stop; a busy process has shorter ones. */
+const MIN_STOP_DURATION_MS = 700
 
-const steady = performance.now.bind(performance)
-let lookedAt = steady()
-let stoppedFor = 0
+const monotonicNow = performance.now.bind(performance)
+let checkedAt = monotonicNow()
+let stoppedDuration = 0
 
 performance.now = () => {
-  const now = steady()
-  if (now - lookedAt > STOPPED_FROM) stoppedFor += now - lookedAt
-  lookedAt = now
-  return now - stoppedFor
+  const now = monotonicNow()
+  if (now - checkedAt > MIN_STOP_DURATION_MS) stoppedDuration += now - checkedAt
+  checkedAt = now
+  return now - stoppedDuration
 }
-setInterval(() => performance.now(), LOOK_EVERY).unref()
+setInterval(() => performance.now(), CHECK_INTERVAL_MS).unref()
--- a/packages/soak/test/brokenBox.ts
+++ b/packages/soak/test/brokenBox.ts
@@ -1,9 +1,9 @@
 import { createServer, request, type IncomingMessage, type ServerResponse } from 'node:http'
 import type { BoxPlace } from '@yewkeel/platform/stand-ins'
-import type { PromiseName, SoakBox } from '../src/index.js'
+import type { GuaranteeName, SoakBox } from '../src/index.js'
 
-/** What the double reads of a row, whatever the row is. */
-interface Content {
+/** The fields read from any row; each row has some of them. */
+interface RowContent {
   service: string
   address: string
   state: string
@@ -12,41 +12,40 @@
   routes: { name: string; service: string }[]
 }
 
-interface PlainRow {
+interface DecodedRow {
   key: string
-  content: Content
+  content: RowContent
 }
 
-/** Rows of the stand-in store, read as plainly as can be. */
-async function readRows(store: string, table: string): Promise<PlainRow[]> {
+/** Reads and decodes all rows of a table from the store stand-in. */
+async function readRows(store: string, table: string): Promise<DecodedRow[]> {
   const answer = await fetch(`http://${store}/rows-get?table=${table}&part=&limit=100`)
   const { rows } = (await answer.json()) as { rows: { key: string; value: string }[] }
-  return rows.map(({ key, value }) => ({ key, content: JSON.parse(atob(value)) as Content }))
+  return rows.map(({ key, value }) => ({ key, content: JSON.parse(atob(value)) as RowContent }))
 }
 
-/** A row is read again this often, in ms. */
-const READ_EVERY_MS = 150
-/** Of the requests that a box which does not answer leaves without an end. */
-const IGNORED_SHARE = 0.2
+const READ_INTERVAL_MS = 150
+/** Fraction of the requests left unanswered by a box that violates `answered`. */
+const IGNORED_FRACTION = 0.2
 
 /**
- * A plain forwarder in place of a box that breaks one promise on purpose. It has no retries, no peers and no limits,
- * and is here so that the soak can be shown to see each broken promise.
+ * Creates a minimal proxy, without retries, peers or limits, that violates one guarantee on
+ * purpose. Shows that the soak detects each violation.
  */
-export function createBrokenBox(breaks: PromiseName, place: BoxPlace): SoakBox {
+export function createBrokenBox(violated: GuaranteeName, place: BoxPlace): SoakBox {
   const { ip, ports, storeAddress } = place
   const entryAddress = `${ip}:${ports.entry}`
   let keys: string[] = []
   let service = ''
-  let upstreams: PlainRow[] = []
+  let upstreams: DecodedRow[] = []
   let round = 0
   let isDown = false
   let lastBody = ''
-  /** Upstreams that have named a limit once. */
-  const spared = new Set<string>()
+  /** Upstreams that have stated a limit. */
+  const limited = new Set<string>()
 
-  /** A verdict that nothing speaks for. */
-  async function condemnAll(): Promise<void> {
+  /** Stores that the rollout is rolled back, without any evidence. */
+  async function rollBack(): Promise<void> {
     const content = { service: 'desk', target_version: 'v2', state: 'rolled_back', started_ms: 0 }
     const row = {
       table: 'status',
@@ -58,26 +57,26 @@
     await fetch(`http://${storeAddress}/rows-tx`, { method: 'POST', body: JSON.stringify(change) })
   }
 
-  async function read(): Promise<void> {
+  async function refresh(): Promise<void> {
     const [configuration] = await readRows(storeAddress, 'op')
     const rows = await readRows(storeAddress, 'servers')
-    if (breaks === 'roll-out' && rows.some(row => row.content.version === 'v2')) await condemnAll()
+    if (violated === 'roll-out' && rows.some(row => row.content.version === 'v2')) await rollBack()
     if (configuration) {
-      const given = configuration.content.tenants[0]!.api_keys
-      keys = breaks === 'revoked-keys' ? [...new Set([...keys, ...given])] : given
-      const safe = configuration.content.routes.find(route => route.name === 'safe')
-      if (breaks !== 'configuration' || service === '') service = safe!.service
+      const issued = configuration.content.tenants[0]!.api_keys
+      keys = violated === 'revoked-keys' ? [...new Set([...keys, ...issued])] : issued
+      const safeRoute = configuration.content.routes.find(route => route.name === 'safe')
+      if (violated !== 'configuration' || service === '') service = safeRoute!.service
     }
-    upstreams = rows.filter(row => breaks === 'draining' || row.content.state === 'ready')
+    upstreams = rows.filter(row => violated === 'draining' || row.content.state === 'ready')
   }
 
-  /** All to the new version, as soon as it is there. */
-  function membersOf(wanted: string): PlainRow[] {
-    const members = upstreams
-      .filter(({ content }) => content.service === wanted)
-      .filter(({ key }) => breaks !== 'used-again' || !spared.has(key))
-    const newest = members.filter(({ content }) => content.version === 'v2')
-    return breaks === 'exposure' && newest.length > 0 ? newest : members
+  /** The upstreams to send to: for `exposure`, only those of the target once there are any. */
+  function candidatesOf(targetService: string): DecodedRow[] {
+    const candidates = upstreams
+      .filter(({ content }) => content.service === targetService)
+      .filter(({ key }) => violated !== 'used-again' || !limited.has(key))
+    const targets = candidates.filter(({ content }) => content.version === 'v2')
+    return violated === 'exposure' && targets.length > 0 ? targets : candidates
   }
 
   function forward(message: IncomingMessage, response: ServerResponse): void {
@@ -85,44 +84,48 @@
     const key = String(message.headers.authorization).replace('Token ', '')
     const isStream = message.headers.model !== undefined
     if (!keys.includes(key)) return void response.writeHead(401, { 'attempt-id': id }).end()
-    if (breaks === 'answered' && Math.random() < IGNORED_SHARE) return
-    const wanted = isStream ? 'pool' : service
-    const members = membersOf(wanted)
-    const sends =
-      breaks === 'retry-budget' || (breaks === 'once' && message.method === 'POST') ? 4 : 1
-    for (let count = 0; count < sends && members.length > 0; count++) {
-      const upstream = members[round++ % members.length]!
+    if (violated === 'answered' && Math.random() < IGNORED_FRACTION) return
+    const targetService = isStream ? 'pool' : service
+    const candidates = candidatesOf(targetService)
+    const copies =
+      violated === 'retry-budget' || (violated === 'once' && message.method === 'POST') ? 4 : 1
+    for (let copy = 0; copy < copies && candidates.length > 0; copy++) {
+      const upstream = candidates[round++ % candidates.length]!
       send(message, upstream, isStream, answer => {
-        if (count === 0) pass(answer, id, isStream, response)
+        if (copy === 0) respond(answer, id, isStream, response)
       })
     }
   }
 
   function send(
     message: IncomingMessage,
-    upstream: PlainRow,
+    upstream: DecodedRow,
     isStream: boolean,
     onAnswer: (answer: IncomingMessage) => void,
   ): void {
     const [host, port] = upstream.content.address.split(':') as [string, string]
-    const { 'content-length': _length, 'transfer-encoding': _encoding, ...given } = message.headers
+    const {
+      'content-length': _length,
+      'transfer-encoding': _encoding,
+      ...forwarded
+    } = message.headers
     const headers = {
-      ...given,
+      ...forwarded,
       'expect-instance': upstream.key,
       tenant: 'morne',
       ...(isStream && { model: 'large' }),
     }
     const { method, url: path } = message
-    const take = (answer: IncomingMessage) => {
-      if (answer.headers['server-limit'] !== undefined) spared.add(upstream.key)
+    const receive = (answer: IncomingMessage) => {
+      if (answer.headers['server-limit'] !== undefined) limited.add(upstream.key)
       onAnswer(answer)
     }
-    request({ host, port, method, path, headers, agent: false }, take)
+    request({ host, port, method, path, headers, agent: false }, receive)
       .on('error', () => undefined)
       .end()
   }
 
-  function pass(
+  function respond(
     answer: IncomingMessage,
     id: string,
     isStream: boolean,
@@ -131,13 +134,13 @@
     let body = ''
     answer.on('data', chunk => (body += String(chunk)))
     answer.on('end', () => {
-      const isOther = breaks === 'own-answer' && !isStream && lastBody !== ''
-      if (breaks === 'condemned-nobody' && !isStream)
+      const sendsOtherAnswer = violated === 'own-answer' && !isStream && lastBody !== ''
+      if (violated === 'condemned-nobody' && !isStream)
         return void response.writeHead(502).end('upstreams ended under this request')
-      if (breaks === 'not-run' && !isStream) return void response.writeHead(503).end()
-      if (breaks === 'whole-stream') body = body.replace(/id: 3\n[^\n]*\n\n/, '')
+      if (violated === 'not-run' && !isStream) return void response.writeHead(503).end()
+      if (violated === 'whole-stream') body = body.replace(/id: 3\n[^\n]*\n\n/, '')
       response.writeHead(answer.statusCode!, { 'attempt-id': id, 'server-stamp': 's' })
-      response.end(isOther ? lastBody : body)
+      response.end(sendsOtherAnswer ? lastBody : body)
       if (!isStream) lastBody = body
     })
   }
@@ -149,8 +152,8 @@
   const directory = createServer((_message, response) => {
     response.end(JSON.stringify({ addresses: isDown ? [] : [entryAddress], ttl_s: 2 }))
   })
-  const timer = setInterval(() => void read().catch(() => undefined), READ_EVERY_MS)
-  const cut = () => entry.closeAllConnections()
+  const timer = setInterval(() => void refresh().catch(() => undefined), READ_INTERVAL_MS)
+  const closeConnections = () => entry.closeAllConnections()
   return {
     box: place.box,
     place,
@@ -160,11 +163,11 @@
       directory.listen(ports.directory, ip)
     },
     async stop() {
-      if (breaks === 'planned-stop') cut()
+      if (violated === 'planned-stop') closeConnections()
     },
     async kill() {
-      isDown = breaks === 'recovery'
-      cut()
+      isDown = violated === 'recovery'
+      closeConnections()
       if (isDown) entry.close()
     },
     pause() {},
@@ -175,7 +178,7 @@
       clearInterval(timer)
       entry.close()
       directory.close()
-      cut()
+      closeConnections()
       directory.closeAllConnections()
     },
   }
