--- a/packages/proof/test/crashingRequest.test.ts
+++ b/packages/proof/test/crashingRequest.test.ts
@@ -4,10 +4,11 @@
 import { keyOf, VirtualSystem } from '../src/world/virtualSystem.js'
 
 const ENGINES = ['engine-1', 'engine-2', 'engine-3', 'engine-4', 'engine-5', 'engine-6']
-const BACK_AFTER: Milliseconds = 2_500
-const EVERY: Milliseconds = 700
-const NEWS_WITHIN: Milliseconds = 3_000
-const MOST_LATE_SENDS = 3
+const RESTART_DELAY: Milliseconds = 2_500
+const ROUND_INTERVAL: Milliseconds = 700
+/** Time for crash reports to reach every box. */
+const GOSSIP_TIMEOUT: Milliseconds = 3_000
+const MAX_LATE_SENDS = 3
 
 const completion = (content: string, stream: boolean) => ({
   path: '/v1/chat/completions',
@@ -20,8 +21,8 @@
   }),
 })
 
-/** Engines that end under one request, and what it and others get. */
-async function play(stream: boolean) {
+/** Sends a request that crashes every engine running it, along with harmless ones. */
+async function runScenario(stream: boolean) {
   const system = new VirtualSystem({
     seed: 7,
     boxCount: 3,
@@ -35,41 +36,42 @@
   const crashes: Milliseconds[] = []
   for (const name of ENGINES) {
     const engine = system.setHandler(name, undefined)!
-    const killable: typeof engine = async request => {
+    const crashable: typeof engine = async request => {
       if (!request.body.includes('killer')) return engine(request)
       sent.push(clock.now())
       await sleep(clock, 60)
       crashes.push(clock.now())
       if (system.setHandler(name, undefined))
-        clock.after(BACK_AFTER, () => void system.setHandler(name, killable))
+        clock.after(RESTART_DELAY, () => void system.setHandler(name, crashable))
       throw new Error('other side closed')
     }
-    system.setHandler(name, killable)
+    system.setHandler(name, crashable)
   }
-  const killers: number[] = []
-  const good: number[] = []
-  const askAll = (content: string, statuses: number[]) => {
+  const killerStatuses: number[] = []
+  const harmlessStatuses: number[] = []
+  const sendToAllBoxes = (content: string, statuses: number[]) => {
     for (const box of [0, 1, 2])
       void system.ask(box, completion(content, stream)).then(({ status }) => statuses.push(status))
   }
   for (let round = 0; round < 25; round++) {
-    askAll('killer', killers)
-    askAll('when is high water?', good)
-    await clock.advance(EVERY)
+    sendToAllBoxes('killer', killerStatuses)
+    sendToAllBoxes('when is high water?', harmlessStatuses)
+    await clock.advance(ROUND_INTERVAL)
   }
   await clock.advance(10_000)
-  return { sent, crashes, killers, good }
+  return { sent, crashes, killerStatuses, harmlessStatuses }
 }
 
-describe('a request that ends the engines that run it, at the boxes of the product', () => {
+describe('a request that crashes every engine running it', () => {
   for (const stream of [false, true])
-    it(`is run no more once three have ended, ${stream ? 'as a stream' : 'whole'}, and others are served`, async () => {
-      const { sent, crashes, killers, good } = await play(stream)
-      const third = crashes[2]!
-      // 39 and 36 before anything was known of such requests.
-      expect(sent.filter(at => at > third + NEWS_WITHIN).length).to.be.at.most(MOST_LATE_SENDS)
-      expect(killers.every(status => status >= 500)).to.equal(true)
-      const served = good.filter(status => status === 200).length
-      expect(served / good.length).to.be.at.least(0.9)
+    it(`is quarantined after three crashes, and other requests succeed (${stream ? 'streamed' : 'not streamed'})`, async () => {
+      const { sent, crashes, killerStatuses, harmlessStatuses } = await runScenario(stream)
+      const thirdCrash = crashes[2]!
+      expect(sent.filter(at => at > thirdCrash + GOSSIP_TIMEOUT).length).to.be.at.most(
+        MAX_LATE_SENDS,
+      )
+      expect(killerStatuses.every(status => status >= 500)).to.equal(true)
+      const served = harmlessStatuses.filter(status => status === 200).length
+      expect(served / harmlessStatuses.length).to.be.at.least(0.9)
     })
 })
--- a/packages/proof/test/faultTable.test.ts
+++ b/packages/proof/test/faultTable.test.ts
@@ -14,7 +14,7 @@
 const COMPLETIONS = '/v1/chat/completions'
 const headers = { authorization: `Bearer ${keyOf(ORGANISATION)}` }
 
-async function startSystem(more: Partial<VirtualSystemOptions> = {}): Promise<VirtualSystem> {
+async function startSystem(overrides: Partial<VirtualSystemOptions> = {}): Promise<VirtualSystem> {
   const system = new VirtualSystem({
     seed: 7,
     boxCount: 5,
@@ -25,7 +25,7 @@
       { id: 'engine-2', dataCentre: 'dc-2', versions: ['small@1', 'large@1'] },
     ],
     services: [{ name: 'booking', dataCentre: 'dc-1' }],
-    ...more,
+    ...overrides,
   })
   await system.start()
   return system
@@ -43,9 +43,9 @@
 function completion(
   system: VirtualSystem,
   box: number,
-  more: { stream?: boolean; session?: string; model?: string } = {},
+  options: { stream?: boolean; session?: string; model?: string } = {},
 ) {
-  const { stream = false, session, model = 'small' } = more
+  const { stream = false, session, model = 'small' } = options
   return system.ask(box, {
     path: COMPLETIONS,
     headers: { ...headers, ...(session && { 'yewkeel-session': session }) },
@@ -71,12 +71,12 @@
   return system.services.get('booking')!.runs.get(key) ?? 0
 }
 
-async function settle(system: VirtualSystem, span = 60_000): Promise<void> {
-  await system.clock.advance(span)
+async function advance(system: VirtualSystem, duration = 60_000): Promise<void> {
+  await system.clock.advance(duration)
 }
 
-/** The next transaction takes effect and its answer is lost; with `thenDown` the store is out from then on. */
-function loseNextCommit({ table }: VirtualSystem, thenDown: boolean): void {
+/** Drops the response to the next commit; with `thenDown` the store is down from then on. */
+function loseNextCommitResponse({ table }: VirtualSystem, thenDown: boolean): void {
   const apply = table.apply.bind(table)
   table.apply = transaction => {
     table.apply = apply
@@ -89,82 +89,90 @@
   }
 }
 
-/** A row of the table of calls: what strikes, when, what the caller is told, what ran and what is billed. */
+/** A fault, and the verdicts, executions and bills expected of a call made under it. */
 interface CallCase {
   fault: string
-  strike(system: VirtualSystem): void
-  told: string
+  inject(system: VirtualSystem): void
+  verdict: string
+  /** Executions at the service. */
   ran: number
   billed: number
-  /** What a second attempt at another box is told at the end. */
-  thenTold: string
+  /** Verdict of a second attempt at another box. */
+  secondVerdict: string
 }
 
 const CALL_CASES: CallCase[] = [
-  { fault: 'nothing', strike: () => {}, told: 'ran', ran: 1, billed: 1, thenTold: 'ran' },
+  {
+    fault: 'nothing fails',
+    inject: () => {},
+    verdict: 'ran',
+    ran: 1,
+    billed: 1,
+    secondVerdict: 'ran',
+  },
   {
     fault: 'the store is down',
-    strike: system => void (system.table.faults.down = true),
-    told: 'not-run',
+    inject: system => void (system.table.faults.down = true),
+    verdict: 'not-run',
     ran: 0,
     billed: 0,
-    thenTold: 'may-have-run',
+    secondVerdict: 'may-have-run',
   },
   {
-    fault: 'the answer to the claim is lost',
-    strike: system => loseNextCommit(system, false),
-    told: 'ran',
+    fault: 'the response to the claim write is lost',
+    inject: system => loseNextCommitResponse(system, false),
+    verdict: 'ran',
     ran: 1,
     billed: 1,
-    thenTold: 'ran',
+    secondVerdict: 'ran',
   },
   {
     fault: 'the service refuses the connection',
-    strike: system => void (system.services.get('booking')!.faults.down = true),
-    told: 'not-run',
+    inject: system => void (system.services.get('booking')!.faults.down = true),
+    verdict: 'not-run',
     ran: 0,
     billed: 0,
-    thenTold: 'not-run',
+    secondVerdict: 'not-run',
   },
   {
-    fault: "the service's answer is lost",
-    strike: system => void (system.services.get('booking')!.faults.loseAnswers = 1),
-    told: 'may-have-run',
+    fault: "the service's response is lost",
+    inject: system => void (system.services.get('booking')!.faults.loseAnswers = 1),
+    verdict: 'may-have-run',
     ran: 1,
     billed: 1,
-    thenTold: 'may-have-run',
+    secondVerdict: 'may-have-run',
   },
 ]
 
-describe('calls that may not be repeated', () => {
+describe('non-idempotent calls', () => {
   for (const row of CALL_CASES) {
-    it(`when ${row.fault}: told ${row.told}, ran ${row.ran}, billed ${row.billed}`, async () => {
+    it(`when ${row.fault}: verdict ${row.verdict}, ran ${row.ran}, billed ${row.billed}`, async () => {
       const system = await startSystem()
-      row.strike(system)
+      row.inject(system)
       const first = hold(system, 0, 'k')
-      await settle(system, 10_000)
-      expect(verdictOf(await first)).to.equal(row.told)
+      await advance(system, 10_000)
+      expect(verdictOf(await first)).to.equal(row.verdict)
       const second = hold(system, 1, 'k', 2)
-      await settle(system, 10_000)
-      expect(verdictOf(await second)).to.equal(row.thenTold)
+      await advance(system, 10_000)
+      expect(verdictOf(await second)).to.equal(row.secondVerdict)
       Object.assign(system.table.faults, { down: false, loseAnswers: 0 })
-      await settle(system)
+      await advance(system)
       expect(runsOf(system, 'k')).to.equal(row.ran)
       const id = resolveBillId(ORGANISATION, HOLDS, 'k')
       expect(billsOf(system).filter(bill => bill.requestId === id)).to.have.length(row.billed)
     })
   }
 
-  it('run once when asked for at two boxes at the same moment', async () => {
+  it('run once when sent to two boxes at the same time', async () => {
     const system = await startSystem()
     const answers = [hold(system, 0, 'k'), hold(system, 1, 'k')]
-    await settle(system)
+    await advance(system)
     const verdicts = (await Promise.all(answers)).map(verdictOf).sort()
     expect(verdicts).to.deep.equal(['may-have-run', 'ran'])
     expect(runsOf(system, 'k')).to.equal(1)
   })
 
-  it('run once when the first box is paused after its claim and wakes after the second attempt', async () => {
+  it('run at most once when the first box is paused after its claim and resumes after the second attempt', async () => {
     const system = await startSystem()
     const first = hold(system, 0, 'k')
     await system.clock.advance(5)
@@ -174,53 +182,55 @@
     await system.clock.advance(13_000)
     expect(verdictOf(await second)).to.equal('may-have-run')
     system.boxes[0]!.clock.resume()
-    await settle(system)
+    await advance(system)
     expect(runsOf(system, 'k')).to.be.at.most(1)
     if (verdictOf(await first) === 'not-run') expect(runsOf(system, 'k')).to.equal(0)
   })
 
-  it('are refused with a clear message when the key belongs to another call', async () => {
+  it('get status 422 when their idempotency key was used for a different call', async () => {
     const system = await startSystem()
     const first = hold(system, 0, 'k')
-    await settle(system, 2_000)
+    await advance(system, 2_000)
     await first
     const other = system.ask(1, {
       path: HOLDS,
       headers: { ...headers, 'idempotency-key': 'k' },
       body: '{"pitch":2}',
     })
-    await settle(system, 2_000)
+    await advance(system, 2_000)
     expect((await other).status).to.equal(422)
   })
 })
 
 describe('bills', () => {
-  it('are written by a witness when the owner dies after the end of the answer', async () => {
+  it('are written by a witness when the owner crashes after the response has ended', async () => {
     const system = await startSystem()
     const answer = completion(system, 0)
     await system.clock.advance(700)
-    const { headers: got, broken } = await answer
+    const { headers: responseHeaders, broken } = await answer
     expect(broken).to.equal(false)
     expect(billsOf(system)).to.have.length(0)
     system.kill(0)
-    await settle(system)
-    expect(billsOf(system).map(bill => bill.requestId)).to.deep.equal([got['x-request-id']])
+    await advance(system)
+    expect(billsOf(system).map(bill => bill.requestId)).to.deep.equal([
+      responseHeaders['x-request-id'],
+    ])
   })
 
-  it('hold what a stream cost whose box died in its middle', async () => {
+  it('include the full usage of a stream whose box crashed mid-stream', async () => {
     const system = await startSystem()
     const answer = completion(system, 0, { stream: true })
     await system.clock.advance(150)
     system.kill(0)
     expect((await answer).broken).to.equal(true)
-    await settle(system)
+    await advance(system)
     const [bill, ...others] = billsOf(system)
     expect(others).to.have.length(0)
     expect(bill?.outcome).to.equal('cut-off')
     expect(bill?.lines[0]?.usage.completionTokens).to.equal(12)
   })
 
-  it('survive an outage of the store during which their owner and a witness die', async () => {
+  it('survive a store outage during which their owner and one witness crash', async () => {
     const system = await startSystem()
     system.table.faults.down = true
     const answers = [completion(system, 0), completion(system, 0)]
@@ -233,11 +243,11 @@
     system.kill(witness)
     await system.clock.advance(30_000)
     system.table.faults.down = false
-    await settle(system)
+    await advance(system)
     expect(billsOf(system)).to.have.length(2)
   })
 
-  it('refuse new work when no other box and no store can hold them', async () => {
+  it('stop new requests when neither the store nor another box can hold them', async () => {
     const system = await startSystem({ boxCount: 1 })
     system.table.faults.down = true
     await system.clock.advance(10_000)
@@ -257,11 +267,12 @@
     state: 'withdrawn',
   }
 
-  it('keeps a withdrawn version from new work at every box, also at one that is cut off', async () => {
+  it('stops requests to a withdrawn version at every box, including a partitioned one', async () => {
     const system = await startSystem()
-    const cut = system.boxes[4]!
-    cut.storeLink.cut = true
-    system.network.isLinked = (left, right) => left !== cut.name && right !== cut.name
+    const partitioned = system.boxes[4]!
+    partitioned.storeLink.cut = true
+    system.network.isLinked = (left, right) =>
+      left !== partitioned.name && right !== partitioned.name
     const outcome = system.submit(0, [withdrawal], 'withdraw')
     await system.clock.advance(4_000)
     expect((await outcome).outcome).to.equal('accepted')
@@ -271,7 +282,7 @@
     expect(statuses).to.deep.equal([403, 403, 403, 403, 503])
   })
 
-  it('goes on serving when the store is out for everybody', async () => {
+  it('lets every box keep serving when the store is down for all of them', async () => {
     const system = await startSystem()
     system.table.faults.down = true
     await system.clock.advance(60_000)
@@ -282,7 +293,7 @@
     ])
   })
 
-  it('lets a box that starts during an outage serve by what a majority vouches for', async () => {
+  it('lets a box that starts during a store outage serve with the revision a majority confirms', async () => {
     const system = await startSystem()
     system.table.faults.down = true
     await system.clock.advance(5_000)
@@ -295,9 +306,9 @@
     expect((await answer).status).to.equal(200)
   })
 
-  it('honours a withdrawal whose write was lost and is not known to have taken effect', async () => {
+  it('applies a withdrawal whose write has an unknown outcome', async () => {
     const system = await startSystem()
-    loseNextCommit(system, true)
+    loseNextCommitResponse(system, true)
     const outcome = system.submit(0, [withdrawal], 'withdraw')
     await system.clock.advance(20_000)
     expect((await outcome).outcome).to.equal('pending')
@@ -306,16 +317,16 @@
     expect((await Promise.all(answers)).every(answer => answer.status >= 400)).to.equal(true)
   })
 
-  it('shows both of two racing operators what stands', async () => {
+  it('accepts one of two concurrent changes and reports a conflict for the other', async () => {
     const system = await startSystem()
     const weights = (weight: number): TableRow => ({ ...withdrawal, state: 'active', weight })
     const outcomes = [system.submit(0, [weights(1)], 'one'), system.submit(1, [weights(2)], 'two')]
     await system.clock.advance(5_000)
-    const told = (await Promise.all(outcomes)).map(outcome => outcome.outcome).sort()
-    expect(told).to.deep.equal(['accepted', 'conflict'])
+    const reported = (await Promise.all(outcomes)).map(outcome => outcome.outcome).sort()
+    expect(reported).to.deep.equal(['accepted', 'conflict'])
   })
 
-  it('does not go back when the store is restored from a backup', async () => {
+  it('keeps its revision at every box and refuses writes when the store is restored from a backup', async () => {
     const system = await startSystem()
     const backup = system.table.backup()
     const outcome = system.submit(0, [withdrawal], 'withdraw')
@@ -346,7 +357,7 @@
     state,
   })
 
-  it('keep their version through a change of weights and another box', async () => {
+  it('keep their version after the weights change and at another box', async () => {
     const system = await startSystem({
       engines: [{ id: 'engine-1', dataCentre: 'dc-1', versions: ['small@1', 'small@2'] }],
     })
@@ -357,16 +368,16 @@
       system.submit(0, [version('1', 0), version('2', 100)], 'move'),
       system.clock.advance(3_000),
     ])
-    const [kept, fresh] = [
+    const [pinned, fresh] = [
       completion(system, 3, { session }),
       completion(system, 3, { session: 'new' }),
     ]
     await system.clock.advance(2_000)
-    expect((await kept).headers['yewkeel-version']).to.equal('small@1')
+    expect((await pinned).headers['yewkeel-version']).to.equal('small@1')
     expect((await fresh).headers['yewkeel-version']).to.equal('small@2')
   })
 
-  it('are refused, and told why, when their version is withdrawn', async () => {
+  it('are refused with session-version-withdrawn when their version is withdrawn', async () => {
     const system = await startSystem()
     const first = completion(system, 0, { session: 'new' })
     await system.clock.advance(2_000)
@@ -383,7 +394,7 @@
 })
 
 describe('upstreams', () => {
-  it('that answer for another version are passed over before a byte reaches the caller', async () => {
+  it('that respond with another version are skipped before a byte reaches the caller', async () => {
     const system = await startSystem()
     system.engines.get('engine-1')!.faults.lies = true
     const answers = Array.from({ length: 6 }, (_, index) =>
@@ -396,9 +407,9 @@
     }
   })
 
-  it('that are leaving get no new work after a few seconds', async () => {
+  it('that are draining get no new requests after three seconds', async () => {
     const system = await startSystem()
-    system.engines.get('engine-1')!.leaving = true
+    system.engines.get('engine-1')!.isDraining = true
     await system.clock.advance(3_000)
     const answers = Array.from({ length: 10 }, (_, index) => completion(system, index % 5))
     await system.clock.advance(2_000)
@@ -408,7 +419,7 @@
     expect([...used]).to.deep.equal(['engine-2'])
   })
 
-  it('whose stream breaks are asked for the rest, and the caller gets the whole answer', async () => {
+  it('whose stream breaks are asked to resume it, and the caller gets the whole response', async () => {
     const system = await startSystem()
     const answer = completion(system, 0, { stream: true })
     for (const engine of system.engines.values()) engine.faults.cutAfter = 4
@@ -422,17 +433,17 @@
   })
 })
 
-describe('an answer whose box died', () => {
-  it('is taken up at another box from the last event on', async () => {
+describe('a stream whose box crashed', () => {
+  it('resumes at another box after the last received event', async () => {
     const system = await startSystem()
     const answer = completion(system, 0, { stream: true })
     await system.clock.advance(150)
     system.kill(0)
-    const { headers: got, body } = await answer
+    const { headers: responseHeaders, body } = await answer
     const last = [...body.matchAll(/^id: (\d+)$/gm)].at(-1)![1]!
     const rest = system.ask(1, {
       method: 'GET',
-      path: `/v1/streams/${encodeURIComponent(got['x-request-id']!)}`,
+      path: `/v1/streams/${encodeURIComponent(responseHeaders['x-request-id']!)}`,
       headers: { ...headers, 'last-event-id': last },
     })
     await system.clock.advance(3_000)
@@ -440,19 +451,19 @@
       Number(found[1]),
     )
     expect(ids).to.deep.equal(Array.from({ length: 13 }, (_, index) => index + 1))
-    await settle(system)
+    await advance(system)
     expect(billsOf(system)).to.have.length(1)
   })
 
-  it('is not given to another organisation', async () => {
+  it('is refused with status 404 to another organisation', async () => {
     const system = await startSystem()
     const answer = completion(system, 0, { stream: true })
     await system.clock.advance(150)
     system.kill(0)
-    const { headers: got } = await answer
+    const { headers: responseHeaders } = await answer
     const rest = system.ask(1, {
       method: 'GET',
-      path: `/v1/streams/${encodeURIComponent(got['x-request-id']!)}`,
+      path: `/v1/streams/${encodeURIComponent(responseHeaders['x-request-id']!)}`,
       headers: { authorization: `Bearer ${keyOf('le-morne')}` },
     })
     await system.clock.advance(3_000)
@@ -460,8 +471,8 @@
   })
 })
 
-describe('a planned stop', () => {
-  it('cuts off nothing, writes every bill, and refuses no caller that holds the address', async () => {
+describe('a graceful shutdown', () => {
+  it('finishes open streams, serves requests while it drains, then refuses them, and writes every bill', async () => {
     const system = await startSystem()
     const before = completion(system, 0, { stream: true })
     await system.clock.advance(100)
@@ -481,7 +492,7 @@
 })
 
 describe('spend limits', () => {
-  it('hold over all boxes, also while the store loses answers', async () => {
+  it('hold across all boxes, even while the store loses responses', async () => {
     const limit: TableRow = {
       row: 'limit',
       organisation: ORGANISATION,
@@ -498,7 +509,7 @@
     const answers = Array.from({ length: 60 }, (_, index) =>
       completion(system, index % 5, { model: 'large' }),
     )
-    await settle(system)
+    await advance(system)
     const statuses = (await Promise.all(answers)).map(answer => answer.status)
     const spent = billsOf(system).reduce(
       (sum, bill) => sum + bill.lines.reduce((cost, line) => cost + line.cost, 0),
@@ -519,12 +530,12 @@
   }
   const rows = [...DEMO_ROWS.filter(row => row.row !== 'limit'), cascade]
 
-  it('bill every stage that ran, once', async () => {
+  it('bill each stage that ran exactly once', async () => {
     const system = await startSystem({ rows })
     const answers = Array.from({ length: 30 }, (_, index) =>
       completion(system, index % 5, { model: 'auto' }),
     )
-    await settle(system)
+    await advance(system)
     expect((await Promise.all(answers)).every(answer => answer.status === 200)).to.equal(true)
     expect(billsOf(system)).to.have.length(30)
     const runs = [...system.engines.values()].reduce((sum, engine) => sum + engine.runs.size, 0)
@@ -532,14 +543,14 @@
     expect(lines).to.equal(runs)
   })
 
-  it('never say not-run when an earlier try may have run', async () => {
+  it('respond may-have-run when an earlier attempt may have run', async () => {
     const system = await startSystem({
       rows,
       engines: [{ id: 'engine-1', dataCentre: 'dc-1', versions: ['small@1'] }],
     })
     system.engines.get('engine-1')!.faults.loseAnswers = 1
     const answers = Array.from({ length: 5 }, (_, index) => completion(system, index))
-    await settle(system, 10_000)
+    await advance(system, 10_000)
     for (const answer of await Promise.all(answers))
       expect(verdictOf(answer)).to.equal('may-have-run')
   })
--- a/packages/proof/test/restingUpstream.test.ts
+++ b/packages/proof/test/restingUpstream.test.ts
@@ -5,15 +5,15 @@
 import { keyOf, VirtualSystem } from '../src/world/virtualSystem.js'
 
 const ENGINES = ['engine-1', 'engine-2', 'engine-3', 'engine-4', 'engine-5', 'engine-6']
-const RESTING = ['engine-1', 'engine-2']
-const REST: Milliseconds = 3_000
-const EVERY: Milliseconds = 100
+const OVERLOADED_ENGINES = ['engine-1', 'engine-2']
+const RETRY_AFTER: Milliseconds = 3_000
+const ROUND_INTERVAL: Milliseconds = 100
 const WARM_UP_ROUNDS = 40
 const ROUNDS = 100
 const BOXES = 3
-const RETURNS_WITHIN: Milliseconds = 1_000
-/** Of the 30 requests that callers send in that time. */
-const LEAST_TAKEN = 3
+/** Time after the back-off ends by which requests must arrive again. */
+const RECOVERY_TIMEOUT: Milliseconds = 1_000
+const MIN_ACCEPTED = 3
 
 const completion = {
   path: '/v1/chat/completions',
@@ -25,8 +25,8 @@
   }),
 }
 
-describe('an upstream that asks for rest, at the boxes of the product', () => {
-  it('is left alone for so long and no longer, and callers are served by others', async () => {
+describe('an upstream that responds 503 with Retry-After', () => {
+  it('is skipped until Retry-After has passed while others serve its callers', async () => {
     const system = new VirtualSystem({
       seed: 7,
       boxCount: BOXES,
@@ -35,43 +35,42 @@
       engines: ENGINES.map(id => ({ id, dataCentre: 'dc-1', versions: ['small@1', 'large@1'] })),
     })
     await system.start()
-    let turnedAway = 0
-    let taken = 0
-    let isInNeed = false
-    for (const name of RESTING) {
+    let rejected = 0
+    let accepted = 0
+    let isOverloaded = false
+    for (const name of OVERLOADED_ENGINES) {
       const engine = system.setHandler(name, undefined)!
-      const resting: typeof engine = async request => {
+      const overloadable: typeof engine = async request => {
         if (request.method !== 'POST') return engine(request)
-        if (!isInNeed) {
-          taken++
+        if (!isOverloaded) {
+          accepted++
           return engine(request)
         }
-        turnedAway++
+        rejected++
         const answer = answerJson(503, 'rest')
-        return { ...answer, headers: { 'retry-after': String(REST / 1_000) } }
+        return { ...answer, headers: { 'retry-after': String(RETRY_AFTER / 1_000) } }
       }
-      system.setHandler(name, resting)
+      system.setHandler(name, overloadable)
     }
     const statuses: number[] = []
-    const play = async (rounds: number) => {
+    const sendRounds = async (rounds: number) => {
       for (let round = 0; round < rounds; round++) {
         for (let box = 0; box < BOXES; box++)
           void system.ask(box, completion).then(({ status }) => statuses.push(status))
-        await system.clock.advance(EVERY)
+        await system.clock.advance(ROUND_INTERVAL)
       }
     }
-    await play(WARM_UP_ROUNDS)
-    isInNeed = true
-    await play(ROUNDS)
-    isInNeed = false
-    taken = 0
-    await play((REST + RETURNS_WITHIN) / EVERY)
-    const takenByThen = taken
+    await sendRounds(WARM_UP_ROUNDS)
+    isOverloaded = true
+    await sendRounds(ROUNDS)
+    isOverloaded = false
+    accepted = 0
+    await sendRounds((RETRY_AFTER + RECOVERY_TIMEOUT) / ROUND_INTERVAL)
+    const acceptedAfterRecovery = accepted
     await system.clock.advance(10_000)
-    const rests = Math.ceil((ROUNDS * EVERY) / REST)
-    expect(turnedAway).to.be.within(1, 2 * BOXES * RESTING.length * rests)
-    // A third of the engines, and those a part of the callers' requests.
-    expect(takenByThen).to.be.above(LEAST_TAKEN)
+    const backOffs = Math.ceil((ROUNDS * ROUND_INTERVAL) / RETRY_AFTER)
+    expect(rejected).to.be.within(1, 2 * BOXES * OVERLOADED_ENGINES.length * backOffs)
+    expect(acceptedAfterRecovery).to.be.above(MIN_ACCEPTED)
     expect(statuses.filter(status => status === 200).length / statuses.length).to.be.above(0.99)
   })
 })
--- a/packages/proof/test/retryBudget.test.ts
+++ b/packages/proof/test/retryBudget.test.ts
@@ -3,15 +3,13 @@
 import { keyOf, VirtualSystem } from '../src/world/virtualSystem.js'
 
 const REQUESTS = 40
-/** What a fresh budget lets through before any request went well. */
-const FIRST_BALANCE = 10
+/** Retries that a new budget allows before any request has succeeded. */
+const INITIAL_BUDGET = 10
 
 describe('the retry budget of a box', () => {
-  /**
-   * An answer of a wrong version is dropped, and the next engine is asked by a new round of tries, of which the first is free. That
-   * cannot multiply requests, since an engine that did so is not asked again: 30 runs for 40 requests at once.
-   */
-  it('is not passed by where all engines answer for another version than they were asked for', async () => {
+  // A wrong version starts a new round of attempts, whose first one is free. The total is bounded
+  // because an engine that responded with a wrong version is not asked again.
+  it('bounds the attempts when every engine responds with a wrong version', async () => {
     const system = new VirtualSystem({
       seed: 7,
       boxCount: 1,
@@ -41,6 +39,6 @@
     await system.clock.advance(60_000)
     for (const { status } of await Promise.all(answers)) expect(status).to.be.at.least(500)
     const runs = engines.reduce((sum, engine) => sum + engine.runs.size, 0)
-    expect(runs - REQUESTS).to.be.at.most(FIRST_BALANCE)
+    expect(runs - REQUESTS).to.be.at.most(INITIAL_BUDGET)
   })
 })
