--- a/packages/stand-ins/src/node/serveHandler.ts
+++ b/packages/stand-ins/src/node/serveHandler.ts
@@ -13,19 +13,19 @@
   host?: string
   /** @default 0, any free port */
   port?: number
-  /** Switches that `POST /_faults` with a JSON object may set. */
+  /** Fault settings, updated by `POST /_faults` with a JSON object; not served when omitted. */
   faults?: object
 }
 
-/** Serves a stand-in over HTTP. */
+/** Serves a stand-in over HTTP. An error of the handler or its body closes the connection. */
 export async function serveHandler(
   handler: StandInHandler,
   options: ServeOptions = {},
 ): Promise<ServedHandler> {
   const { host = '127.0.0.1', port = 0, faults } = options
   const server = createServer(async (message, response) => {
-    const hangUp = new AbortController()
-    response.on('close', () => hangUp.abort())
+    const disconnect = new AbortController()
+    response.on('close', () => disconnect.abort())
     try {
       const body = await readBody(message)
       if (message.url === '/_faults' && faults) {
@@ -33,10 +33,11 @@
         response.end(`${JSON.stringify(faults)}\n`)
         return
       }
-      const answer = await handler(toRequest(message, body, hangUp.signal))
+      const answer = await handler(toRequest(message, body, disconnect.signal))
       response.writeHead(answer.status, answer.headers)
       for await (const chunk of answer.body) {
-        if (!response.write(chunk)) await Promise.race([drained(response), closed(hangUp.signal)])
+        if (!response.write(chunk))
+          await Promise.race([drained(response), aborted(disconnect.signal)])
       }
       response.end()
     } catch {
@@ -71,7 +72,7 @@
   return new Promise(resolve => response.once('drain', () => resolve()))
 }
 
-function closed(signal: AbortSignal): Promise<void> {
+function aborted(signal: AbortSignal): Promise<void> {
   return new Promise(resolve => signal.addEventListener('abort', () => resolve(), { once: true }))
 }
 
--- a/packages/stand-ins/src/node/startStandIns.ts
+++ b/packages/stand-ins/src/node/startStandIns.ts
@@ -9,6 +9,7 @@
 import { PlainService } from '../upstreams/plainService.js'
 import { serveHandler, type ServedHandler } from './serveHandler.js'
 
+/** Settings of one engine; defaults and units are those of `EngineOptions`. */
 export interface EngineSettings {
   name: string
   dataCentre: string
@@ -28,21 +29,21 @@
   port?: number
 }
 
-/** Settings of the stand-ins that run together in one process. Port 0 or none takes any free one. */
+/** Settings of the stand-ins. A port that is 0 or omitted is assigned by the operating system. */
 export interface StandInSettings {
   host?: string
   seed?: number
   ports?: { table?: number; boxList?: number; ratings?: number; objects?: number }
   ratings?: { delay?: number; coverage?: number }
-  /** Chance of a good answer by `model@version`, or by `model@version/kind`; 1 where none is given. */
+  /** Probability of a good answer, by `model@version/kind` or `model@version`. Defaults to 1. */
   quality?: Record<string, number>
-  /** Time of one load from the weight store. */
+  /** Milliseconds to load one model version from the weight store. Defaults to 4000. */
   loadTime?: number
   engines: EngineSettings[]
   services: ServiceSettings[]
 }
 
-/** Stand-ins that run, and where. */
+/** Running stand-ins and their addresses. */
 export interface RunningStandIns {
   table: MemoryTable
   ratings: RatingService
@@ -56,7 +57,7 @@
   close(): Promise<void>
 }
 
-/** Starts stand-ins for everything outside yewkeel, on loopback. */
+/** Starts all stand-ins in this process, on loopback unless `host` says otherwise. */
 export async function startStandIns(settings: StandInSettings): Promise<RunningStandIns> {
   const clock = createSystemClock()
   const random = createSeededRandom(settings.seed ?? 1)
@@ -70,31 +71,31 @@
     served.push(running)
     return running.address
   }
-  const world = createPlatform(settings, clock, random)
+  const platform = createPlatform(settings, clock, random)
   const { ports = {} } = settings
   const addresses = {
-    table: await serve(createTableHandler(world.table), {
+    table: await serve(createTableHandler(platform.table), {
       port: ports.table ?? 0,
-      faults: world.table.faults,
+      faults: platform.table.faults,
     }),
-    boxList: await serve(world.boxList.handler, {
+    boxList: await serve(platform.boxList.handler, {
       port: ports.boxList ?? 0,
-      faults: world.boxList.faults,
+      faults: platform.boxList.faults,
     }),
-    ratings: await serve(world.ratings.handler, {
+    ratings: await serve(platform.ratings.handler, {
       port: ports.ratings ?? 0,
-      faults: world.ratings.faults,
+      faults: platform.ratings.faults,
     }),
-    objects: await serve(world.objects.handler, {
+    objects: await serve(platform.objects.handler, {
       port: ports.objects ?? 0,
-      faults: world.objects.faults,
+      faults: platform.objects.faults,
     }),
   }
   const engines = new Map<string, Engine>()
   const services = new Map<string, PlainService>()
   const listed: ListedBox[] = []
   for (const engine of settings.engines) {
-    const created = createEngine(engine, settings, { clock, random, ...world })
+    const created = createEngine(engine, settings, { clock, random, ...platform })
     const address = await serve(created.handler, { port: engine.port ?? 0, faults: created.faults })
     engines.set(engine.name, created)
     const { name, dataCentre, checksFence = true } = engine
@@ -114,10 +115,10 @@
     services.set(name, created)
     listed.push({ name, role: 'service', address, dataCentre, state: 'live', slots: 16 })
   }
-  world.boxList.set(listed)
-  world.boxList.settle()
+  platform.boxList.set(listed)
+  platform.boxList.settle()
   return {
-    ...world,
+    ...platform,
     engines,
     services,
     addresses,
@@ -130,7 +131,7 @@
 
 function createPlatform(settings: StandInSettings, clock: Clock, random: Random) {
   return {
-    // Over real sockets the link itself takes the time of a round trip.
+    // No simulated latency on top of the latency of the socket.
     table: new MemoryTable({ clock, random, latency: 0 }),
     ratings: new RatingService({ clock, random, ...settings.ratings }),
     boxList: new BoxList({ clock, random }),
@@ -142,15 +143,15 @@
 function createEngine(
   engine: EngineSettings,
   { quality = {} }: StandInSettings,
-  world: Pick<EngineOptions, 'clock' | 'random' | 'ratings' | 'weights'>,
+  shared: Pick<EngineOptions, 'clock' | 'random' | 'ratings' | 'weights'>,
 ): Engine {
   const { name, port, dataCentre, ...options } = engine
   return new Engine({
     id: name,
-    clock: world.clock,
-    random: world.random,
-    ...(world.ratings && { ratings: world.ratings }),
-    ...(world.weights && { weights: world.weights }),
+    clock: shared.clock,
+    random: shared.random,
+    ...(shared.ratings && { ratings: shared.ratings }),
+    ...(shared.weights && { weights: shared.weights }),
     qualityOf: (version, kind) => quality[`${version}/${kind}`] ?? quality[version] ?? 1,
     ...options,
   })
--- a/packages/stand-ins/src/platform/boxList.ts
+++ b/packages/stand-ins/src/platform/boxList.ts
@@ -2,15 +2,16 @@
 import { createFaults, withFaults } from '../types/faults.js'
 import { answerJson, type StandInHandler } from '../types/handler.js'
 
-/** One machine as the platform lists it. */
+/** A box, engine or service in the platform's list. */
 export interface ListedBox {
   name: string
   role: 'entry' | 'engine' | 'service'
   address: string
   dataCentre: string
   state: 'live' | 'leaving'
-  /** Requests that an engine or service works on at once. */
+  /** Maximum concurrent requests of an engine or service. */
   slots?: number
+  /** Whether an engine rejects load orders with an outdated fencing token. */
   checksFence?: boolean
 }
 
@@ -18,39 +19,41 @@
   clock: Clock
   random: Random
   /**
-   * How far the list is behind.
+   * Delay before a change is visible to clients.
    * @default 1000
    */
   lag?: Milliseconds
 }
 
-/** The platform's list of live and leaving boxes, which lags. */
+/** The platform's eventually consistent list of live and leaving boxes, engines and services. */
 export class BoxList {
   readonly faults = createFaults()
-  #shown: ListedBox[] = []
-  #actual: ListedBox[] = []
+  #published: ListedBox[] = []
+  #current: ListedBox[] = []
 
   constructor(readonly options: BoxListOptions) {}
 
-  /** Changes the list. What is asked shows it after the lag. */
+  /** Replaces the list. Clients see the new one after the lag. */
   set(boxes: ListedBox[]): void {
-    this.#actual = boxes
-    this.options.clock.after(this.options.lag ?? 1_000, () => (this.#shown = boxes))
+    this.#current = boxes
+    this.options.clock.after(this.options.lag ?? 1_000, () => (this.#published = boxes))
   }
 
-  /** Shows the list as it is, for a start without waiting. */
+  /** Publishes the current list at once, so that a start need not wait for the lag. */
   settle(): void {
-    this.#shown = this.#actual
+    this.#published = this.#current
   }
 
+  /** The list that clients see. */
   get boxes(): readonly ListedBox[] {
-    return this.#shown
+    return this.#published
   }
 
+  /** The current list, including changes that clients can't see yet. */
   get actual(): readonly ListedBox[] {
-    return this.#actual
+    return this.#current
   }
 
   readonly handler: StandInHandler = () =>
-    withFaults(this.faults, this.options, () => answerJson(200, { boxes: this.#shown }))
+    withFaults(this.faults, this.options, () => answerJson(200, { boxes: this.#published }))
 }
--- a/packages/stand-ins/src/platform/memoryTable.ts
+++ b/packages/stand-ins/src/platform/memoryTable.ts
@@ -16,38 +16,41 @@
   clock: Clock
   random: Random
   /**
-   * Time of one round trip.
+   * Simulated round-trip time.
    * @default 2
    */
   latency?: Milliseconds
   /**
-   * Writes that are taken each second; more wait their turn.
+   * Rate limit; writes beyond it wait.
    * @default 100
    */
   writesPerSecond?: number
-  /** @default 2000 */
+  /**
+   * Rate limit; reads beyond it wait.
+   * @default 2000
+   */
   readsPerSecond?: number
 }
 
-/** The platform's transactional table service: rows with versions, transactions, a rate limit and faults. */
+/** In-memory table service of the platform: versioned rows and conditional transactions. */
 export class MemoryTable {
   readonly faults = createFaults()
   readonly counts = { reads: 0, writes: 0 }
   #rows = new Map<string, { value: string; version: number }>()
-  /** Sorted keys, for listing by prefix; made anew after a write of a new key. */
+  /** Sorted keys for listing by prefix; rebuilt on the first listing after a write. */
   #sortedKeys: string[] | undefined
-  #writeFreeAt = 0
-  #readFreeAt = 0
+  #nextWriteAt = 0
+  #nextReadAt = 0
   #nextVersion = 1
 
   constructor(readonly options: MemoryTableOptions) {}
 
-  /** A client on a link of its own, which a test may cut. */
+  /** Returns a client; setting `link.cut` disconnects that client only. */
   connect(link: { cut: boolean } = { cut: false }): TableService {
-    const reading = (read: () => StoreRow[]) => this.#read(link, read)
+    const readRows = (read: () => StoreRow[]) => this.#read(link, read)
     return {
-      read: keys => reading(() => keys.flatMap(key => this.rowOf(key) ?? [])),
-      list: (prefix, options) => reading(() => this.listRows(prefix, options)),
+      read: keys => readRows(() => keys.flatMap(key => this.rowOf(key) ?? [])),
+      list: (prefix, options) => readRows(() => this.listRows(prefix, options)),
       commit: transaction => this.#commit(link, transaction),
     }
   }
@@ -69,12 +72,15 @@
     return found
   }
 
-  /** Applies a transaction at once. False when a condition does not hold. */
+  /**
+   * Applies a transaction atomically, without latency, rate limit or faults.
+   * Returns false and writes nothing if the version of a row differs from its condition.
+   */
   apply(transaction: StoreTransaction): boolean {
-    const holds = transaction.conditions.every(
+    const isUnchanged = transaction.conditions.every(
       ({ key, version }) => (this.#rows.get(key)?.version ?? 0) === version,
     )
-    if (!holds) return false
+    if (!isUnchanged) return false
     const version = this.#nextVersion++
     for (const { key, value } of transaction.writes) {
       if (value === undefined) this.#rows.delete(key)
@@ -84,7 +90,7 @@
     return true
   }
 
-  /** A copy of all rows, as a backup would hold it. */
+  /** Returns a snapshot of all rows, for `restore`. */
   backup(): Map<string, { value: string; version: number }> {
     return new Map(this.#rows)
   }
@@ -96,9 +102,9 @@
 
   async #read(link: { cut: boolean }, read: () => StoreRow[]): Promise<ReadOutcome> {
     try {
-      const rows = await this.#reach(link, () => {
+      const rows = await this.#roundTrip(link, () => {
         this.counts.reads++
-        return this.#paced('read', read)
+        return this.#rateLimited('read', read)
       })
       return { outcome: 'read', rows }
     } catch {
@@ -108,9 +114,9 @@
 
   async #commit(link: { cut: boolean }, transaction: StoreTransaction): Promise<CommitOutcome> {
     try {
-      const applied = await this.#reach(link, () => {
+      const applied = await this.#roundTrip(link, () => {
         this.counts.writes++
-        return this.#paced('write', () => this.apply(transaction))
+        return this.#rateLimited('write', () => this.apply(transaction))
       })
       return applied ? 'committed' : 'conflict'
     } catch (error) {
@@ -118,7 +124,7 @@
     }
   }
 
-  async #reach<T>(link: { cut: boolean }, run: () => Promise<T>): Promise<T> {
+  async #roundTrip<T>(link: { cut: boolean }, run: () => Promise<T>): Promise<T> {
     const { clock, latency = 2 } = this.options
     if (link.cut) throw new DroppedConnection(false)
     await sleep(clock, latency / 2)
@@ -128,15 +134,15 @@
     return answer
   }
 
-  async #paced<T>(kind: 'read' | 'write', run: () => T): Promise<T> {
+  async #rateLimited<T>(kind: 'read' | 'write', run: () => T): Promise<T> {
     const { clock, writesPerSecond = 100, readsPerSecond = 2_000 } = this.options
     const now = clock.now()
-    const free = kind === 'read' ? this.#readFreeAt : this.#writeFreeAt
-    const turn = Math.max(now, free)
-    const gap = 1_000 / (kind === 'read' ? readsPerSecond : writesPerSecond)
-    if (kind === 'read') this.#readFreeAt = turn + gap
-    else this.#writeFreeAt = turn + gap
-    if (turn > now) await sleep(clock, turn - now)
+    const nextAt = kind === 'read' ? this.#nextReadAt : this.#nextWriteAt
+    const startAt = Math.max(now, nextAt)
+    const interval = 1_000 / (kind === 'read' ? readsPerSecond : writesPerSecond)
+    if (kind === 'read') this.#nextReadAt = startAt + interval
+    else this.#nextWriteAt = startAt + interval
+    if (startAt > now) await sleep(clock, startAt - now)
     return run()
   }
 }
--- a/packages/stand-ins/src/platform/objectStore.ts
+++ b/packages/stand-ins/src/platform/objectStore.ts
@@ -2,7 +2,7 @@
 import { createFaults, withFaults } from '../types/faults.js'
 import { answerJson, type StandInHandler } from '../types/handler.js'
 
-/** The object store: whole objects put and got by path. */
+/** In-memory object store: PUT stores a JSON object under its path, any other method returns it. */
 export class ObjectStore {
   readonly faults = createFaults()
   readonly objects = new Map<string, string>()
--- a/packages/stand-ins/src/platform/ratingService.ts
+++ b/packages/stand-ins/src/platform/ratingService.ts
@@ -6,12 +6,12 @@
   clock: Clock
   random: Random
   /**
-   * How late a rating comes.
+   * Time between an answer and its rating.
    * @default 2000
    */
   delay?: Milliseconds
   /**
-   * Share of answers that get a rating.
+   * Fraction of answers that get a rating.
    * @default 1
    */
   coverage?: number
@@ -24,15 +24,15 @@
   at: Milliseconds
 }
 
-/** The service that rates answers: partial, late, and asked by cursor. */
+/** Rates a fraction of the answers after a delay; clients page through ratings by cursor. */
 export class RatingService {
   readonly faults = createFaults()
   readonly #ratings: Rating[] = []
 
   constructor(readonly options: RatingServiceOptions) {}
 
-  /** Called by engines with what an answer was really worth. */
-  note(requestId: string, good: boolean): void {
+  /** Records whether an answer is good; engines call it for each request they run. */
+  record(requestId: string, good: boolean): void {
     const { clock, random, delay = 2_000, coverage = 1 } = this.options
     if (random() >= coverage) return
     clock.after(delay, () => {
@@ -40,7 +40,10 @@
     })
   }
 
-  /** Ratings after a cursor, of requests whose id starts with `router`. */
+  /**
+   * Returns ratings after `cursor` for request ids that start with `router`, and the next cursor.
+   * `limit` counts ratings before that filter.
+   */
   ratingsAfter(
     cursor: number,
     router: string,
--- a/packages/stand-ins/src/platform/tableHandler.ts
+++ b/packages/stand-ins/src/platform/tableHandler.ts
@@ -21,8 +21,8 @@
 }
 
 /**
- * The table service over HTTP, in the published JSON form of the etcd version 3 interface: `range` and `txn`
- * with base64 keys and values, rows compared by their modification revision.
+ * Serves a table over the JSON gateway of the etcd v3 API: `range` and `txn`, with base64 keys and
+ * values, and compares by modification revision.
  */
 export function createTableHandler(table: MemoryTable): StandInHandler {
   return request =>
@@ -50,7 +50,7 @@
   },
 }
 
-/** A transaction that only reads counts as one read. */
+/** Serves the ranges of a read-only transaction, counted as one read. */
 function readAll(table: MemoryTable, ranges: readonly RangeBody[]) {
   table.counts.reads++
   return ranges.map(({ key }) => ({
@@ -63,7 +63,7 @@
   return row ? [row] : []
 }
 
-/** Ranges asked for by yewkeel are prefixes, from a key on. */
+/** Lists `[from, end)`, scanning only the common prefix of both keys. */
 function listRange(table: MemoryTable, from: string, end: string, limit = Infinity): StoreRow[] {
   const prefix = commonPrefix(from, end)
   return table
@@ -84,8 +84,8 @@
       key: decode(compare.key),
       version: Number(compare.mod_revision ?? compare.create_revision ?? 0),
     })),
-    writes: (body.success ?? []).map(({ request_put: put, request_delete_range: removed }) =>
-      put ? { key: decode(put.key), value: decode(put.value) } : { key: decode(removed!.key) },
+    writes: (body.success ?? []).map(({ request_put: put, request_delete_range: deletion }) =>
+      put ? { key: decode(put.key), value: decode(put.value) } : { key: decode(deletion!.key) },
     ),
   }
 }
--- a/packages/stand-ins/src/types/faults.ts
+++ b/packages/stand-ins/src/types/faults.ts
@@ -1,13 +1,13 @@
 import { sleep, type Clock, type Milliseconds, type Random } from '@yewkeel/decisions'
 import { DroppedConnection } from './handler.js'
 
-/** Switches that every stand-in has. */
+/** Faults that can be injected into any stand-in. */
 export interface Faults {
-  /** Refuses connections. */
+  /** Connections are refused. */
   down: boolean
-  /** Added to each answer. */
+  /** Latency added to each request. */
   slowBy: Milliseconds
-  /** Share of answers that are lost after the request took effect. */
+  /** Fraction of requests whose response is dropped after they have taken effect. */
   loseAnswers: number
 }
 
@@ -15,19 +15,19 @@
   return { down: false, slowBy: 0, loseAnswers: 0 }
 }
 
-/** Runs an operation under a stand-in's faults. */
+/** Runs an operation with faults injected. Throws `DroppedConnection` for an injected failure. */
 export async function withFaults<T>(
   faults: Faults,
-  world: { clock: Clock; random: Random },
+  context: { clock: Clock; random: Random },
   run: () => T | Promise<T>,
 ): Promise<T> {
   if (faults.down) throw new DroppedConnection(false)
-  if (faults.slowBy > 0) await sleep(world.clock, faults.slowBy)
-  // It may have gone down while the request was on its way.
+  if (faults.slowBy > 0) await sleep(context.clock, faults.slowBy)
+  // The stand-in may have gone down during the added latency.
   if (faults.down) throw new DroppedConnection(true)
-  const answer = await run()
-  if (faults.loseAnswers > 0 && world.random() < faults.loseAnswers) {
+  const result = await run()
+  if (faults.loseAnswers > 0 && context.random() < faults.loseAnswers) {
     throw new DroppedConnection(true)
   }
-  return answer
+  return result
 }
--- a/packages/stand-ins/src/types/handler.ts
+++ b/packages/stand-ins/src/types/handler.ts
@@ -1,32 +1,33 @@
-/** A request to a stand-in, from a socket or from a test in the same process. */
+/** A request to a stand-in, over HTTP or from a test in the same process. */
 export interface StandInRequest {
   method: string
-  /** Path with query. */
+  /** Includes the query string. */
   path: string
   headers: Record<string, string | undefined>
   body: string
-  /** Aborted when the caller hangs up. */
+  /** Aborted when the client disconnects. */
   signal: AbortSignal
 }
 
-export interface StandInAnswer {
+export interface StandInResponse {
   status: number
   headers: Record<string, string>
   body: AsyncIterable<Uint8Array | string>
 }
 
-/** Answers a request, or rejects with `DroppedConnection` to break the connection without an answer. */
-export type StandInHandler = (request: StandInRequest) => Promise<StandInAnswer>
+/** Responds to a request; rejects with `DroppedConnection` to close the connection instead. */
+export type StandInHandler = (request: StandInRequest) => Promise<StandInResponse>
 
-/** The connection breaks. `sent`: whether the request had been taken by then. */
+/** The connection failed. `sent` says whether the request was received before that. */
 export class DroppedConnection extends Error {
   constructor(readonly sent: boolean) {
-    super(sent ? 'the connection broke after the request was taken' : 'the connection was refused')
+    super(
+      sent ? 'the connection closed after the request was received' : 'the connection was refused',
+    )
   }
 }
 
-/** A JSON answer. */
-export function answerJson(status: number, body: unknown): StandInAnswer {
+export function answerJson(status: number, body: unknown): StandInResponse {
   return {
     status,
     headers: { 'content-type': 'application/json' },
--- a/packages/stand-ins/src/upstreams/engine.ts
+++ b/packages/stand-ins/src/upstreams/engine.ts
@@ -9,50 +9,52 @@
 import { createFaults, withFaults } from '../types/faults.js'
 import {
   answerJson,
-  type StandInAnswer,
+  type StandInResponse,
   type StandInHandler,
   type StandInRequest,
 } from '../types/handler.js'
 import type { RatingService } from '../platform/ratingService.js'
 import type { WeightStore } from '../platform/weightStore.js'
 
-/** How good a version's answers are, by kind of request. */
+/** Probability that a version (`model@version`) gives a good answer to a kind of request. */
 export type QualityOf = (version: string, kind: string) => number
 
 export interface EngineOptions {
   id: string
   clock: Clock
   random: Random
-  /** `model@version` names that it runs at the start. */
+  /** Versions loaded at the start, as `model@version`. */
   versions: string[]
-  /** @default 8 */
+  /** Maximum concurrent requests. @default 8 */
   slots?: number
-  /** Time between tokens. @default 20 */
+  /** Decode time per token. @default 20 */
   tokenInterval?: Milliseconds
-  /** Time to the first token with no queue and an empty prompt. @default 40 */
+  /** Time to first token, without queueing and prefill. @default 40 */
   firstToken?: Milliseconds
-  /** @default 20 */
+  /** Prefill throughput. @default 20 */
   prefillTokensPerMillisecond?: number
-  /** Tokens of an answer when the request sets none. @default 24 */
+  /** Tokens of an answer, unless `max_tokens` of the request is lower. @default 24 */
   answerTokens?: number
+  /** Defaults to good answers only. */
   qualityOf?: QualityOf
   ratings?: RatingService
   weights?: WeightStore
-  /** @default true */
+  /** Whether load orders with an outdated fencing token are rejected. @default true */
   checksFence?: boolean
-  /** Versions that it can hold. @default 2 */
+  /** Number of versions that fit in memory; reported, not enforced. @default 2 */
   room?: number
 }
 
 interface EngineStream {
   id: string
   version: string
-  words: string[]
+  tokens: string[]
   produced: number
   promptTokens: number
   confidence: number
   cancelled: boolean
   done: boolean
+  /** Callbacks for the next change of this stream. */
   waiters: (() => void)[]
 }
 
@@ -67,28 +69,35 @@
 }
 
 const CACHE_BLOCK_CHARACTERS = 1_024
-const CACHE_BLOCKS = 512
-const KEPT_STREAM: Milliseconds = 60_000
+const MAX_CACHE_BLOCKS = 512
+/** Time for which a finished stream can be resumed. */
+const STREAM_TTL: Milliseconds = 60_000
 
-/** A model engine: slots, a queue by priority, a prefix cache, streams that can be resumed and cancelled. */
+/** Simulated model server with slots, a priority queue, a prefix cache and resumable streams. */
 export class Engine {
   readonly faults = {
     ...createFaults(),
-    /** Says it runs the version asked for and runs another. */
+    /** Serves requests with another version than the requested one, and reports that version. */
     lies: false,
-    /** Breaks each stream after this many tokens. */
+    /** Tokens after which each stream is cut off. */
     cutAfter: Infinity,
-    /** Multiplies the time between tokens. */
+    /** Factor on the time to first token and the time between tokens. */
     slowdown: 1,
   }
   readonly versions: Set<string>
+  /** Number of executions by request id. */
   readonly runs = new Map<string, number>()
-  leaving = false
+  /** Whether the engine reports that it drains. */
+  isDraining = false
+  /** Version being loaded. */
   loading: string | undefined
+  /** Highest fencing token of the load orders so far. */
   #fence = 0
   #running = 0
+  /** Waiting requests, lowest priority number first. */
   #queue: { priority: number; resume: () => void }[] = []
   #streams = new Map<string, EngineStream>()
+  /** Chained hashes of prompt blocks, least recently used first. */
   #cache = new Set<number>()
 
   constructor(readonly options: EngineOptions) {
@@ -106,60 +115,61 @@
   readonly handler: StandInHandler = request =>
     withFaults(this.faults, this.options, () => this.#route(request))
 
-  async #route(request: StandInRequest): Promise<StandInAnswer> {
+  async #route(request: StandInRequest): Promise<StandInResponse> {
     const url = new URL(request.path, 'http://engine')
     if (request.method === 'POST' && url.pathname === '/v1/chat/completions')
       return this.#complete(request)
-    if (url.pathname.startsWith('/v1/streams/')) return this.#onStream(request, url)
+    if (url.pathname.startsWith('/v1/streams/')) return this.#handleStream(request, url)
     if (url.pathname === '/v1/models') {
       return answerJson(200, {
         object: 'list',
         data: [...this.versions].map(id => ({ id, object: 'model' })),
       })
     }
-    if (url.pathname === '/load') return answerJson(200, this.#report())
-    if (request.method === 'POST' && url.pathname === '/orders') return this.#order(request)
+    if (url.pathname === '/load') return answerJson(200, this.#loadReport())
+    if (request.method === 'POST' && url.pathname === '/orders')
+      return this.#handleLoadOrder(request)
     return answerJson(404, { error: { message: 'unknown path' } })
   }
 
-  #report() {
+  #loadReport() {
     return {
       ...this.load,
       slots: this.slots,
-      leaving: this.leaving,
+      leaving: this.isDraining,
       versions: [...this.versions],
       room: this.options.room ?? 2,
       ...(this.loading && { loading: this.loading }),
     }
   }
 
-  async #complete(request: StandInRequest): Promise<StandInAnswer> {
+  async #complete(request: StandInRequest): Promise<StandInResponse> {
     const body = JSON.parse(request.body) as CompletionBody
     if (!this.versions.has(body.model)) {
       return answerJson(404, {
         error: { message: `the model ${body.model} is not loaded`, type: 'not_found' },
       })
     }
-    const stream = this.#start(request, body)
+    const stream = this.#startStream(request, body)
     await this.#waitForFirstToken(stream, body)
     void this.#generate(stream)
     if (body.stream) return this.#eventStream(stream, 0, request)
-    return this.#wholeAnswer(stream, body, request)
+    return this.#wholeResponse(stream, body, request)
   }
 
-  #start(request: StandInRequest, body: CompletionBody): EngineStream {
+  #startStream(request: StandInRequest, body: CompletionBody): EngineStream {
     const id = request.headers['x-request-id'] ?? `stream-${this.#streams.size}`
     const prompt = body.messages.map(message => message.content).join('\n')
     const kind = body.metadata?.kind ?? 'other'
     const good = this.options.random() < (this.options.qualityOf?.(body.model, kind) ?? 1)
     const confidence = good ? 0.6 + 0.4 * this.options.random() : 0.2 + 0.55 * this.options.random()
     this.runs.set(id, (this.runs.get(id) ?? 0) + 1)
-    this.options.ratings?.note(id, good)
-    const count = Math.min(body.max_tokens ?? Infinity, this.options.answerTokens ?? 24)
+    this.options.ratings?.record(id, good)
+    const tokenCount = Math.min(body.max_tokens ?? Infinity, this.options.answerTokens ?? 24)
     const stream: EngineStream = {
       id,
       version: this.faults.lies ? `${body.model.split('@')[0]}@other` : body.model,
-      words: answerWords(prompt, count),
+      tokens: answerWords(prompt, tokenCount),
       produced: 0,
       promptTokens: Math.max(1, Math.ceil(prompt.length / 4)),
       confidence,
@@ -172,27 +182,27 @@
   }
 
   async #waitForFirstToken(stream: EngineStream, body: CompletionBody): Promise<void> {
-    await this.#takeSlot(body.priority ?? 0)
+    await this.#acquireSlot(body.priority ?? 0)
     const cached = this.#cachedTokens(body)
     const { prefillTokensPerMillisecond = 20, firstToken = 40 } = this.options
     const prefill = Math.max(0, stream.promptTokens - cached) / prefillTokensPerMillisecond
     await sleep(this.options.clock, (firstToken + prefill) * this.faults.slowdown)
   }
 
-  #takeSlot(priority: number): Promise<void> {
+  #acquireSlot(priority: number): Promise<void> {
     if (this.#running < this.slots) {
       this.#running++
       return Promise.resolve()
     }
     return new Promise(resume => {
-      const place = this.#queue.findIndex(waiter => waiter.priority > priority)
+      const position = this.#queue.findIndex(waiter => waiter.priority > priority)
       const waiter = { priority, resume: () => resume() }
-      if (place === -1) this.#queue.push(waiter)
-      else this.#queue.splice(place, 0, waiter)
+      if (position === -1) this.#queue.push(waiter)
+      else this.#queue.splice(position, 0, waiter)
     })
   }
 
-  #freeSlot(): void {
+  #releaseSlot(): void {
     const next = this.#queue.shift()
     if (next) next.resume()
     else this.#running--
@@ -200,19 +210,19 @@
 
   async #generate(stream: EngineStream): Promise<void> {
     const { clock, tokenInterval = 20 } = this.options
-    while (stream.produced < stream.words.length && !stream.cancelled) {
+    while (stream.produced < stream.tokens.length && !stream.cancelled) {
       stream.produced++
-      wake(stream)
-      if (stream.produced < stream.words.length)
+      notify(stream)
+      if (stream.produced < stream.tokens.length)
         await sleep(clock, tokenInterval * this.faults.slowdown)
     }
     stream.done = true
-    wake(stream)
-    this.#freeSlot()
-    clock.after(KEPT_STREAM, () => this.#streams.delete(stream.id))
+    notify(stream)
+    this.#releaseSlot()
+    clock.after(STREAM_TTL, () => this.#streams.delete(stream.id))
   }
 
-  #eventStream(stream: EngineStream, from: number, request: StandInRequest): StandInAnswer {
+  #eventStream(stream: EngineStream, from: number, request: StandInRequest): StandInResponse {
     return {
       status: 200,
       headers: { 'content-type': 'text/event-stream', 'cache-control': 'no-cache' },
@@ -225,19 +235,20 @@
     from: number,
     request: StandInRequest,
   ): AsyncIterable<string> {
-    const wakeOnHangUp = () => wake(stream)
-    request.signal.addEventListener('abort', wakeOnHangUp)
+    const onDisconnect = () => notify(stream)
+    request.signal.addEventListener('abort', onDisconnect)
     try {
       for (let index = from; ; index++) {
         while (stream.produced <= index && !stream.done && !request.signal.aborted)
-          await changed(stream)
+          await nextChange(stream)
         if (request.signal.aborted) return
-        if (index >= this.faults.cutAfter) throw new Error('cut')
+        if (index >= this.faults.cutAfter)
+          throw new Error('the stream was cut off by the cutAfter fault')
         if (index >= stream.produced) break
         const first = index === 0 ? { role: 'assistant' } : {}
         yield event(
           index + 1,
-          chunkOf(stream, { delta: { ...first, content: stream.words[index] } }),
+          chunkOf(stream, { delta: { ...first, content: stream.tokens[index] } }),
         )
       }
       const usage = usageOf(stream)
@@ -247,27 +258,27 @@
       })
       yield 'data: [DONE]\n\n'
     } finally {
-      request.signal.removeEventListener('abort', wakeOnHangUp)
+      request.signal.removeEventListener('abort', onDisconnect)
     }
   }
 
-  async #wholeAnswer(
+  async #wholeResponse(
     stream: EngineStream,
     body: CompletionBody,
     request: StandInRequest,
-  ): Promise<StandInAnswer> {
+  ): Promise<StandInResponse> {
     const cancel = () => {
       stream.cancelled = true
     }
     request.signal.addEventListener('abort', cancel)
-    while (!stream.done) await changed(stream)
+    while (!stream.done) await nextChange(stream)
     request.signal.removeEventListener('abort', cancel)
     const logprobs = body.logprobs && {
       logprobs: {
-        content: stream.words.map(token => ({ token, logprob: Math.log(stream.confidence) })),
+        content: stream.tokens.map(token => ({ token, logprob: Math.log(stream.confidence) })),
       },
     }
-    const message = { role: 'assistant', content: stream.words.join('') }
+    const message = { role: 'assistant', content: stream.tokens.join('') }
     return answerJson(200, {
       id: `chatcmpl-${stream.id}`,
       object: 'chat.completion',
@@ -277,7 +288,7 @@
     })
   }
 
-  #onStream(request: StandInRequest, url: URL): StandInAnswer {
+  #handleStream(request: StandInRequest, url: URL): StandInResponse {
     const id = decodeURIComponent(url.pathname.slice('/v1/streams/'.length))
     const stream = this.#streams.get(id)
     if (!stream) return answerJson(404, { error: { message: 'no such stream' } })
@@ -291,7 +302,8 @@
     return this.#eventStream(stream, Number(url.searchParams.get('after') ?? 0), request)
   }
 
-  #order(request: StandInRequest): StandInAnswer {
+  /** Starts loading a version. Rejects an order whose fencing token is outdated. */
+  #handleLoadOrder(request: StandInRequest): StandInResponse {
     const order = JSON.parse(request.body) as { fence: number; load: string; unload?: string }
     if ((this.options.checksFence ?? true) && order.fence < this.#fence) {
       return answerJson(409, { message: `the fence ${order.fence} is older than ${this.#fence}` })
@@ -310,9 +322,10 @@
     return answerJson(202, {})
   }
 
+  /** Returns the prompt tokens found in the prefix cache, and caches the blocks of the prompt. */
   #cachedTokens(body: CompletionBody): number {
     const prompt = body.messages.map(message => message.content).join('\n')
-    let chained = hashText(body.model)
+    let hash = hashText(body.model)
     let cached = 0
     let isPrefix = true
     for (
@@ -320,24 +333,24 @@
       start + CACHE_BLOCK_CHARACTERS <= prompt.length;
       start += CACHE_BLOCK_CHARACTERS
     ) {
-      chained = hashText(prompt.slice(start, start + CACHE_BLOCK_CHARACTERS), chained)
-      if (isPrefix && this.#cache.has(chained)) cached += CACHE_BLOCK_CHARACTERS / 4
+      hash = hashText(prompt.slice(start, start + CACHE_BLOCK_CHARACTERS), hash)
+      if (isPrefix && this.#cache.has(hash)) cached += CACHE_BLOCK_CHARACTERS / 4
       else isPrefix = false
-      this.#cache.delete(chained)
-      this.#cache.add(chained)
+      this.#cache.delete(hash)
+      this.#cache.add(hash)
     }
     for (const block of this.#cache) {
-      if (this.#cache.size <= CACHE_BLOCKS) break
+      if (this.#cache.size <= MAX_CACHE_BLOCKS) break
       this.#cache.delete(block)
     }
     return cached
   }
 }
 
-/** The words of the answer to a prompt: the same for the same prompt, so that a mixed-up answer shows. */
-export function answerWords(prompt: string, count: number): string[] {
+/** Returns the tokens of the answer to a prompt, deterministic so that callers can check them. */
+export function answerWords(prompt: string, tokenCount: number): string[] {
   const random = createSeededRandom(hashText(prompt))
-  return Array.from({ length: count }, () => `${Math.floor(random() * 46_656).toString(36)} `)
+  return Array.from({ length: tokenCount }, () => `${Math.floor(random() * 46_656).toString(36)} `)
 }
 
 function usageOf(stream: EngineStream) {
@@ -361,11 +374,11 @@
   return `id: ${id}\ndata: ${JSON.stringify(data)}\n\n`
 }
 
-function changed(stream: EngineStream): Promise<void> {
+function nextChange(stream: EngineStream): Promise<void> {
   return new Promise(resolve => stream.waiters.push(resolve))
 }
 
-function wake(stream: EngineStream): void {
+function notify(stream: EngineStream): void {
   const waiters = stream.waiters
   stream.waiters = []
   for (const resolve of waiters) resolve()
--- a/packages/stand-ins/src/upstreams/plainService.ts
+++ b/packages/stand-ins/src/upstreams/plainService.ts
@@ -5,16 +5,16 @@
 export interface PlainServiceOptions {
   clock: Clock
   random: Random
-  /** @default 10 */
+  /** Time per request. @default 10 */
   workTime?: Milliseconds
-  /** @default 16 */
+  /** Maximum concurrent requests; reported, not enforced. @default 16 */
   slots?: number
 }
 
-/** A service beside the engines. Each POST has an effect that must not happen twice; it checks nothing. */
+/** Simulated non-engine service. POST is not idempotent: a duplicate is executed again. */
 export class PlainService {
   readonly faults = createFaults()
-  /** How often each call ran, by the caller's idempotency key. */
+  /** Number of executions of each POST, by idempotency key, or by body without one. */
   readonly runs = new Map<string, number>()
   #running = 0
 
@@ -33,7 +33,7 @@
         })
       }
       if (request.method === 'POST')
-        this.#noteRun(request.headers['idempotency-key'] ?? request.body)
+        this.#countRun(request.headers['idempotency-key'] ?? request.body)
       this.#running++
       await sleep(clock, workTime)
       this.#running--
@@ -42,7 +42,7 @@
       return answerJson(200, { path: request.path, free: 3 })
     })
 
-  #noteRun(key: string): void {
+  #countRun(key: string): void {
     this.runs.set(key, (this.runs.get(key) ?? 0) + 1)
   }
 }
