--- a/packages/proof/src/models/billModel.ts
+++ b/packages/proof/src/models/billModel.ts
@@ -29,20 +29,20 @@
 
 interface Request {
   step: 'none' | 'open' | 'closing' | 'ended'
-  /** The caller has the first byte, the end. */
-  begun: boolean
-  whole: boolean
+  /** Received by the caller. */
+  firstByteReceived: boolean
+  lastByteReceived: boolean
 }
 
 interface BillState {
   ledgers: Record<string, LedgerState>
-  dead: string[]
+  crashed: string[]
   messages: Message[]
   batches: Batch[]
-  /** How often each bill's row was written. */
-  rows: Record<string, number>
+  /** Number of times each bill's row was written. */
+  rowWrites: Record<string, number>
   requests: Record<string, Request>
-  faults: number
+  faultsLeft: number
 }
 
 type BillAction = { type: string; box?: string; index?: number; request?: string }
@@ -50,74 +50,80 @@
 const OWNER = 'a/1'
 const BOXES = [OWNER, 'b/1', 'c/1']
 const REQUESTS = ['r1', 'r2']
-const FAULTS = 1
+const MAX_FAULTS = 1
 
-/** Bills of two requests at one box with two witnesses: crashes, lost links and lost answers of the store. */
+/** Bills of two requests at one box with two witnesses, under crashes and lost answers of the store. */
 export function createBillModel(mutation?: BillMutation): Model<BillState, BillAction> {
   return {
     name: 'bills',
     stands: "ledgerTransition and isProtected are the product's own",
     initial: () => ({
       ledgers: Object.fromEntries(BOXES.map(box => [box, createLedgerState(box)])),
-      dead: [],
+      crashed: [],
       messages: [],
       batches: [],
-      rows: {},
+      rowWrites: {},
       requests: Object.fromEntries(
-        REQUESTS.map(id => [id, { step: 'none', begun: false, whole: false }]),
+        REQUESTS.map(id => [
+          id,
+          { step: 'none', firstByteReceived: false, lastByteReceived: false },
+        ]),
       ),
-      faults: FAULTS,
+      faultsLeft: MAX_FAULTS,
     }),
     actions: state => billActions(state, mutation),
     apply: (state, action) => applyBill(state, action, mutation),
     invariants: {
-      'no request is billed twice': state => Object.values(state.rows).every(count => count <= 1),
+      'no request is billed twice': state =>
+        Object.values(state.rowWrites).every(count => count <= 1),
       'a whole answer has a closed bill that is not lost': state =>
-        REQUESTS.every(id => !state.requests[id]!.whole || isKept(state, id, 'closed')),
+        REQUESTS.every(
+          id => !state.requests[id]!.lastByteReceived || isBillRetained(state, id, 'closed'),
+        ),
       'an answer that has begun has a bill that is not lost': state =>
-        REQUESTS.every(id => !state.requests[id]!.begun || isKept(state, id)),
+        REQUESTS.every(id => !state.requests[id]!.firstByteReceived || isBillRetained(state, id)),
     },
   }
 }
 
-/** Whether the store has the bill or a box that lives holds it, at the stage that is asked for. */
-function isKept(state: BillState, id: string, stage?: Bill['stage']): boolean {
-  if ((state.rows[id] ?? 0) > 0) return true
-  const counts = (bill: Bill | undefined) => bill !== undefined && (!stage || bill.stage === stage)
-  return BOXES.filter(box => !state.dead.includes(box)).some(box => {
+/** Whether the store has the bill, or a live box holds it, at `stage` if that is given. */
+function isBillRetained(state: BillState, id: string, stage?: Bill['stage']): boolean {
+  if ((state.rowWrites[id] ?? 0) > 0) return true
+  const matches = (bill: Bill | undefined) => bill !== undefined && (!stage || bill.stage === stage)
+  return BOXES.filter(box => !state.crashed.includes(box)).some(box => {
     const ledger = state.ledgers[box]!
     return (
-      counts(ledger.own.get(id)?.bill) ||
-      [...ledger.held.values()].some(held => counts(held.get(id)))
+      matches(ledger.own.get(id)?.bill) ||
+      [...ledger.held.values()].some(held => matches(held.get(id)))
     )
   })
 }
 
 function billActions(state: BillState, mutation?: BillMutation): BillAction[] {
   const actions: BillAction[] = []
-  const isAlive = (box: string) => !state.dead.includes(box)
+  const isAlive = (box: string) => !state.crashed.includes(box)
   if (isAlive(OWNER)) actions.push(...requestActions(state, mutation))
-  const heads = new Set<string>()
+  const linksWithMessage = new Set<string>()
   state.messages.forEach((message, index) => {
-    // A link keeps the order of what is sent over it.
+    // Each link delivers in order.
     const link = `${message.from}>${message.to}`
-    if (!heads.has(link)) actions.push({ type: 'deliver', index })
-    heads.add(link)
+    if (!linksWithMessage.has(link)) actions.push({ type: 'deliver', index })
+    linksWithMessage.add(link)
   })
   for (const box of BOXES.filter(isAlive)) {
     const ledger = state.ledgers[box]!
     if (!ledger.batch && ledger.queue.length > 0) actions.push({ type: 'flush', box })
-    if (state.faults > 0) actions.push({ type: 'crash', box })
-    for (const gone of state.dead) {
-      if (ledger.held.has(gone)) actions.push({ type: 'take over', box })
-      if ([...ledger.own.values()].some(own => own.witnesses.includes(gone))) {
+    if (state.faultsLeft > 0) actions.push({ type: 'crash', box })
+    for (const crashed of state.crashed) {
+      if (ledger.held.has(crashed)) actions.push({ type: 'take over', box })
+      if ([...ledger.own.values()].some(own => own.witnesses.includes(crashed))) {
         actions.push({ type: 'drop a dead witness', box })
       }
     }
   }
   state.batches.forEach((_batch, index) => {
     actions.push({ type: 'store takes the batch', index })
-    if (state.faults > 0) actions.push({ type: 'store takes it and the answer is lost', index })
+    if (state.faultsLeft > 0) actions.push({ type: 'store takes it and the answer is lost', index })
   })
   return actions
 }
@@ -125,15 +131,19 @@
 function requestActions(state: BillState, mutation?: BillMutation): BillAction[] {
   const ledger = state.ledgers[OWNER]!
   return REQUESTS.flatMap((request): BillAction[] => {
-    const { step, begun, whole } = state.requests[request]!
-    const isFree = mutation === 'let the end out before the bill is held'
-    // The requests are alike: the second opens after the first.
-    const isNext = request === REQUESTS[0] || state.requests[REQUESTS[0]!]!.step !== 'none'
-    if (step === 'none') return isNext ? [{ type: 'open', request }] : []
-    if (step === 'open' && !begun && isProtected(ledger, request, 'open'))
+    const { step, firstByteReceived, lastByteReceived } = state.requests[request]!
+    const skipsProtection = mutation === 'let the end out before the bill is held'
+    // Symmetry reduction: the second request opens only after the first.
+    const mayOpen = request === REQUESTS[0] || state.requests[REQUESTS[0]!]!.step !== 'none'
+    if (step === 'none') return mayOpen ? [{ type: 'open', request }] : []
+    if (step === 'open' && !firstByteReceived && isProtected(ledger, request, 'open'))
       return [{ type: 'first byte', request }]
-    if (step === 'open' && begun) return [{ type: 'close', request }]
-    if (step === 'closing' && !whole && (isFree || isProtected(ledger, request, 'closed'))) {
+    if (step === 'open' && firstByteReceived) return [{ type: 'close', request }]
+    if (
+      step === 'closing' &&
+      !lastByteReceived &&
+      (skipsProtection || isProtected(ledger, request, 'closed'))
+    ) {
       return [{ type: 'last byte', request }]
     }
     return []
@@ -146,75 +156,91 @@
   switch (action.type) {
     case 'open':
       state.requests[request]!.step = 'open'
-      return post(
+      return dispatch(
         state,
         OWNER,
-        { type: 'open', bill: billOf(request, 'open'), witnesses: witnessesOf(state, mutation) },
+        {
+          type: 'open',
+          bill: createBill(request, 'open'),
+          witnesses: selectWitnesses(state, mutation),
+        },
         mutation,
       )
     case 'first byte':
-      state.requests[request]!.begun = true
+      state.requests[request]!.firstByteReceived = true
       return
     case 'close':
       state.requests[request]!.step = 'closing'
-      return post(state, OWNER, { type: 'close', bill: billOf(request, 'closed') }, mutation)
+      return dispatch(
+        state,
+        OWNER,
+        { type: 'close', bill: createBill(request, 'closed') },
+        mutation,
+      )
     case 'last byte':
-      state.requests[request]!.whole = true
+      state.requests[request]!.lastByteReceived = true
       state.requests[request]!.step = 'ended'
       return
     case 'deliver': {
       const [message] = state.messages.splice(action.index!, 1)
-      if (!state.dead.includes(message!.to)) post(state, message!.to, message!.content, mutation)
+      if (!state.crashed.includes(message!.to))
+        dispatch(state, message!.to, message!.content, mutation)
       return
     }
     case 'flush':
-      return post(state, box, { type: 'flush' }, mutation)
+      return dispatch(state, box, { type: 'flush' }, mutation)
     case 'crash':
       return crash(state, box)
     case 'take over':
-      for (const owner of state.dead)
-        post(state, box, { type: 'owner-gone', owner, witnesses: [] }, mutation)
+      for (const owner of state.crashed)
+        dispatch(state, box, { type: 'owner-gone', owner, witnesses: [] }, mutation)
       return
     case 'drop a dead witness':
-      for (const gone of state.dead) post(state, box, { type: 'replace-witness', gone }, mutation)
+      for (const crashed of state.crashed)
+        dispatch(state, box, { type: 'replace-witness', gone: crashed }, mutation)
       return
     default:
-      return answerBatch(state, action, mutation)
+      return completeBatch(state, action, mutation)
   }
 }
 
-function witnessesOf(state: BillState, mutation?: BillMutation): string[] {
+function selectWitnesses(state: BillState, mutation?: BillMutation): string[] {
   if (mutation === 'have no witness') return [OWNER]
-  return BOXES.filter(box => box !== OWNER && !state.dead.includes(box))
+  return BOXES.filter(box => box !== OWNER && !state.crashed.includes(box))
 }
 
-function billOf(requestId: string, stage: Bill['stage']): Bill {
+function createBill(requestId: string, stage: Bill['stage']): Bill {
   return { requestId, organisation: 'o', openedAt: 0, stage, lines: [] }
 }
 
 function crash(state: BillState, box: string): void {
-  state.faults--
-  state.dead.push(box)
-  // What the dead box had sent may still arrive; what it had at the store may still take effect.
+  state.faultsLeft--
+  state.crashed.push(box)
+  // Messages and store writes that the box had sent may still take effect.
   state.ledgers[box] = createLedgerState(box)
 }
 
-function post(
+function dispatch(
   state: BillState,
   box: string,
   message: LedgerMessage,
   mutation?: BillMutation,
 ): void {
   const effects = ledgerTransition(state.ledgers[box]!, message, 0)
-  for (const effect of effects) run(state, box, effect, mutation)
+  for (const effect of effects) runEffect(state, box, effect, mutation)
 }
 
-function run(state: BillState, box: string, effect: LedgerEffect, mutation?: BillMutation): void {
+function runEffect(
+  state: BillState,
+  box: string,
+  effect: LedgerEffect,
+  mutation?: BillMutation,
+): void {
   const send = (to: string, content: LedgerMessage) =>
     state.messages.push({ from: box, to, content })
-  // Confirmations and releases arrive at once: a late one only keeps a bill held for longer.
+  // Confirmations and releases are delivered at once: a delay only keeps a bill held for longer.
   const deliver = (to: string, content: LedgerMessage) => {
-    if (!state.dead.includes(to)) post(state, to, content, mutation)
+    if (!state.crashed.includes(to)) dispatch(state, to, content, mutation)
   }
   switch (effect.type) {
     case 'send-hold':
@@ -232,14 +258,14 @@
       const bills = effect.bills.map(bill => bill.requestId)
       state.batches.push({ box, id: effect.id, bills })
       if (mutation === 'release witnesses before the store has the bill') {
-        for (const to of witnessesOf(state))
+        for (const to of selectWitnesses(state))
           deliver(to, { type: 'release', owner: box, requestIds: bills })
       }
       return
     }
     case 'reconcile':
-      // The engine says how the stream ended.
-      return post(
+      // Reconciliation with the engine closes the bill.
+      return dispatch(
         state,
         box,
         { type: 'close', bill: { ...effect.bill, stage: 'closed' } },
@@ -251,22 +277,22 @@
   }
 }
 
-function answerBatch(state: BillState, action: BillAction, mutation?: BillMutation): void {
+function completeBatch(state: BillState, action: BillAction, mutation?: BillMutation): void {
   const [batch] = state.batches.splice(action.index!, 1)
   const { box, id, bills } = batch!
-  if (action.type !== 'store takes the batch') state.faults--
+  if (action.type !== 'store takes the batch') state.faultsLeft--
   if (action.type !== 'batch is lost') writeRows(state, bills, mutation)
-  if (state.dead.includes(box)) return
+  if (state.crashed.includes(box)) return
   if (action.type !== 'store takes the batch')
-    return post(state, box, { type: 'batch-failed', id }, mutation)
-  // After a conflict the box reads which rows stand; those are done, the rest goes into the next batch.
-  const requestIds = bills.filter(bill => (state.rows[bill] ?? 0) > 0)
-  post(state, box, { type: 'batch-written', id, requestIds }, mutation)
+    return dispatch(state, box, { type: 'batch-failed', id }, mutation)
+  // After a conflict the box reads which rows exist; the others go into the next batch.
+  const requestIds = bills.filter(bill => (state.rowWrites[bill] ?? 0) > 0)
+  dispatch(state, box, { type: 'batch-written', id, requestIds }, mutation)
 }
 
-/** All rows or none: a transaction whose rows are to be absent is refused when one stands. */
+/** Writes all rows or none: the transaction fails if one of them exists. */
 function writeRows(state: BillState, bills: string[], mutation?: BillMutation): void {
-  const isRefused = bills.some(bill => (state.rows[bill] ?? 0) > 0)
+  const isRefused = bills.some(bill => (state.rowWrites[bill] ?? 0) > 0)
   if (isRefused && mutation !== 'write rows that stand') return
-  for (const bill of bills) state.rows[bill] = (state.rows[bill] ?? 0) + 1
+  for (const bill of bills) state.rowWrites[bill] = (state.rowWrites[bill] ?? 0) + 1
 }
--- a/packages/proof/src/models/drainModel.ts
+++ b/packages/proof/src/models/drainModel.ts
@@ -14,43 +14,45 @@
 interface DrainModelState {
   now: number
   drain: DrainState
-  /** When each caller got the address; undefined while it has none. */
-  addressSince: Record<string, number>
+  /** Tick at which each caller received the box's address. */
+  addressReceivedAt: Record<string, number>
   requests: Record<string, RequestStep>
   billsInStore: number
   billsLost: number
-  refusedWithAddress: boolean
-  faults: number
+  /** A caller was refused before its address expired. */
+  refusedWithValidAddress: boolean
+  faultsLeft: number
 }
 
 type DrainAction = { type: string; caller?: string }
 
 const CALLERS = ['caller 1', 'caller 2']
-const LIFETIME = 2
+/** Ticks for which a caller may use an address. */
+const ADDRESS_TTL = 2
 const LAST_TICK = 5
-const FAULTS = 2
+const MAX_FAULTS = 2
 
-/** A planned stop while callers hold addresses, requests are in flight, and the store is slow. */
+/** Planned shutdown of a box while callers hold its address, requests are in flight, and the store is slow. */
 export function createDrainModel(mutation?: DrainMutation): Model<DrainModelState, DrainAction> {
   return {
     name: 'drain',
     stands: "drainTransition and takesNewRequests are the product's own",
     initial: () => ({
       now: 0,
-      drain: createDrainState(LIFETIME),
-      addressSince: {},
+      drain: createDrainState(ADDRESS_TTL),
+      addressReceivedAt: {},
       requests: Object.fromEntries(CALLERS.map(caller => [caller, 'none'])),
       billsInStore: 0,
       billsLost: 0,
-      refusedWithAddress: false,
-      faults: FAULTS,
+      refusedWithValidAddress: false,
+      faultsLeft: MAX_FAULTS,
     }),
     actions: drainActions,
     apply: (state, action) => applyDrain(state, action, mutation),
     invariants: {
       'no request in flight is cut off': state =>
         !Object.values(state.requests).includes('cut off'),
-      'no caller with a valid address is refused': state => !state.refusedWithAddress,
+      'no caller with a valid address is refused': state => !state.refusedWithValidAddress,
       'no bill is lost by the stop': state => state.billsLost === 0,
     },
   }
@@ -58,19 +60,19 @@
 
 function drainActions(state: DrainModelState): DrainAction[] {
   const actions: DrainAction[] = []
-  const { drain, requests, addressSince } = state
+  const { drain, requests, addressReceivedAt } = state
   if (state.now < LAST_TICK) actions.push({ type: 'time passes' })
   if (drain.step === 'serving') actions.push({ type: 'stop is asked for' })
   else if (drain.step !== 'stopped') actions.push({ type: 'box looks at itself' })
-  if (unwritten(state) > 0 && drain.step !== 'stopped') {
+  if (countUnwrittenBills(state) > 0 && drain.step !== 'stopped') {
     actions.push({ type: 'store takes a bill' })
-    if (state.faults > 0) actions.push({ type: 'store is out' })
+    if (state.faultsLeft > 0) actions.push({ type: 'store is out' })
   }
   for (const caller of CALLERS) {
     const step = requests[caller]
-    if (drain.step === 'serving' && addressSince[caller] === undefined)
+    if (drain.step === 'serving' && addressReceivedAt[caller] === undefined)
       actions.push({ type: 'ask where', caller })
-    if (step === 'none' && addressSince[caller] !== undefined && drain.step !== 'stopped') {
+    if (step === 'none' && addressReceivedAt[caller] !== undefined && drain.step !== 'stopped') {
       actions.push({ type: 'ask', caller })
     }
     if (step === 'in flight' && drain.step !== 'stopped')
@@ -80,7 +82,7 @@
 }
 
 function applyDrain(state: DrainModelState, action: DrainAction, mutation?: DrainMutation): void {
-  const { drain, requests, addressSince, now } = state
+  const { drain, requests, addressReceivedAt, now } = state
   const caller = action.caller ?? ''
   switch (action.type) {
     case 'time passes':
@@ -90,10 +92,10 @@
       drainTransition(drain, { type: 'stop-asked' }, now)
       return
     case 'ask where':
-      addressSince[caller] = now
+      addressReceivedAt[caller] = now
       return
     case 'ask':
-      return ask(state, caller, mutation)
+      return sendRequest(state, caller, mutation)
     case 'answer ends':
       requests[caller] = 'answered'
       return
@@ -101,35 +103,36 @@
       state.billsInStore++
       return
     case 'store is out':
-      state.faults--
+      state.faultsLeft--
       return
     case 'box looks at itself':
-      return look(state, mutation)
+      return reportCounts(state, mutation)
   }
 }
 
-function ask(state: DrainModelState, caller: string, mutation?: DrainMutation): void {
+function sendRequest(state: DrainModelState, caller: string, mutation?: DrainMutation): void {
   const { drain, now } = state
-  const takes = mutation === 'refuse at once' ? drain.step === 'serving' : takesNewRequests(drain)
-  state.requests[caller] = takes ? 'in flight' : 'refused'
-  const isValid = now - state.addressSince[caller]! < LIFETIME
-  if (!takes && isValid) state.refusedWithAddress = true
+  const isAdmitted =
+    mutation === 'refuse at once' ? drain.step === 'serving' : takesNewRequests(drain)
+  state.requests[caller] = isAdmitted ? 'in flight' : 'refused'
+  const isValid = now - state.addressReceivedAt[caller]! < ADDRESS_TTL
+  if (!isAdmitted && isValid) state.refusedWithValidAddress = true
 }
 
-function look(state: DrainModelState, mutation?: DrainMutation): void {
-  const count = Object.values(state.requests).filter(step => step === 'in flight').length
-  const seen = mutation === 'stop with requests in flight' ? 0 : count
-  const bills = mutation === 'stop with unwritten bills' ? 0 : unwritten(state)
-  drainTransition(state.drain, { type: 'in-flight', count: seen }, state.now)
+function reportCounts(state: DrainModelState, mutation?: DrainMutation): void {
+  const inFlight = Object.values(state.requests).filter(step => step === 'in flight').length
+  const reported = mutation === 'stop with requests in flight' ? 0 : inFlight
+  const bills = mutation === 'stop with unwritten bills' ? 0 : countUnwrittenBills(state)
+  drainTransition(state.drain, { type: 'in-flight', count: reported }, state.now)
   drainTransition(state.drain, { type: 'unwritten-bills', count: bills }, state.now)
   if (state.drain.step !== 'stopped') return
-  state.billsLost = unwritten(state)
+  state.billsLost = countUnwrittenBills(state)
   for (const caller of CALLERS) {
     if (state.requests[caller] === 'in flight') state.requests[caller] = 'cut off'
   }
 }
 
-function unwritten(state: DrainModelState): number {
+function countUnwrittenBills(state: DrainModelState): number {
   const answered = Object.values(state.requests).filter(step => step === 'answered').length
   return answered - state.billsInStore
 }
--- a/packages/proof/src/models/explore.ts
+++ b/packages/proof/src/models/explore.ts
@@ -1,31 +1,33 @@
 /**
- * Explores every reachable state of a small specification and checks invariants on each. The walk is that of
- * `xstate/graph`; this module keeps where each state was first come from, so that a broken invariant has its
- * shortest trace.
+ * Explicit-state model checker: explores every reachable state of a small model and checks the invariants
+ * in each. `xstate/graph` does the traversal; this module records the predecessor of each state, so that a
+ * violation has its shortest trace.
  */
 import { createHash } from 'node:crypto'
 import { getAdjacencyMap } from 'xstate/graph'
 
-/** A transition system: a state, what may happen in it, and what must hold in each. */
+/** A transition system: an initial state, the actions enabled in each state, and the invariants. */
 export interface Model<State, Action extends { type: string }> {
   name: string
-  /** Which product function decides in the model, or that it is an abstraction and what ties the two. */
+  /** Which product functions the model calls, or what it abstracts. Printed with the result. */
   stands: string
   initial(): State
-  /** Everything that may happen next, faults included. */
+  /** The actions enabled in `state`, faults included. */
   actions(state: State): Action[]
-  /** The state after an action. `state` is a copy that may be changed. */
+  /** Applies `action` to `state` in place; the caller passes a copy. */
   apply(state: State, action: Action): void
   invariants: Record<string, (state: State) => boolean>
 }
 
 export interface Violation {
   invariant: string
+  /** Actions that lead from the initial state to the violating one. */
   trace: string[]
 }
 
 export interface Exploration {
   states: number
+  /** Actions from the initial state to the farthest state. */
   depth: number
   violation?: Violation
 }
@@ -43,20 +45,20 @@
   next: Visited<State>
 }
 
-/** Walks the whole state space, or until an invariant breaks or `limit` states are passed. */
+/** Explores the whole state space; stops at the first violation, or past `limit` states. */
 export function explore<State, Action extends { type: string }>(
   model: Model<State, Action>,
   limit = Infinity,
 ): Exploration {
   const visited = new Map<string, Visited<State>>()
-  const start = model.initial()
-  const first: Visited<State> = { state: start, depth: 0, key: canonicalKey(start) }
-  visited.set(first.key, first)
+  const initialState = model.initial()
+  const initial: Visited<State> = { state: initialState, depth: 0, key: canonicalKey(initialState) }
+  visited.set(initial.key, initial)
   let depth = 0
-  let broken = findBroken(model, first)
+  let violation = findViolation(model, initial)
 
-  const stepsOf = (from: Visited<State>): Step<State>[] => {
-    if (broken || visited.size > limit) return []
+  const expand = (from: Visited<State>): Step<State>[] => {
+    if (violation || visited.size > limit) return []
     const steps: Step<State>[] = []
     for (const action of model.actions(from.state)) {
       const state = copyState(from.state)
@@ -68,48 +70,48 @@
         depth: from.depth + 1,
         key,
         parent: from,
-        action: describe(action),
+        action: formatAction(action),
       }
       visited.set(key, next)
       depth = Math.max(depth, next.depth)
       steps.push({ type: `${steps.length}`, next })
-      broken ??= findBroken(model, next)
-      if (broken) break
+      violation ??= findViolation(model, next)
+      if (violation) break
     }
-    // What has been left behind is needed for its trace alone.
+    // Frees the expanded state: only its place in traces is still needed.
     from.state = undefined as State
     return steps
   }
   const logic = {
     transition: (_from: Visited<State>, step: Step<State>) => step.next,
-    getInitialSnapshot: () => first,
+    getInitialSnapshot: () => initial,
   }
   getAdjacencyMap(logic as never, {
-    events: stepsOf as never,
+    events: expand as never,
     serializeState: ((state: Visited<State>) => state.key) as never,
     serializeEvent: ((step: Step<State>) => step.type) as never,
   })
-  return { states: visited.size, depth, ...(broken && { violation: broken }) }
+  return { states: visited.size, depth, ...(violation && { violation }) }
 }
 
-function findBroken<State, Action extends { type: string }>(
+function findViolation<State, Action extends { type: string }>(
   model: Model<State, Action>,
   visited: Visited<State>,
 ): Violation | undefined {
   for (const [invariant, holds] of Object.entries(model.invariants)) {
-    if (!holds(visited.state)) return { invariant, trace: traceOf(visited) }
+    if (!holds(visited.state)) return { invariant, trace: buildTrace(visited) }
   }
   return undefined
 }
 
-function traceOf<State>(visited: Visited<State>): string[] {
+function buildTrace<State>(visited: Visited<State>): string[] {
   const trace: string[] = []
   for (let at: Visited<State> | undefined = visited; at?.action; at = at.parent)
     trace.unshift(at.action)
   return trace
 }
 
-function describe(action: { type: string }): string {
+function formatAction(action: { type: string }): string {
   const { type, ...details } = action
   const text = Object.values(details).map(value =>
     typeof value === 'object' ? JSON.stringify(value) : String(value),
@@ -117,21 +119,21 @@
   return [type, ...text].join(' ')
 }
 
-/** A short text that is the same for equal states: maps and sets count in the order of their keys. */
+/** A hash of the state that ignores the order of object keys, map entries and set members. */
 export function canonicalKey(state: unknown): string {
   return createHash('sha1').update(canonicalText(state)).digest('base64')
 }
 
-/** Texts of frozen objects, which are shared by many states. */
-const frozenTexts = new WeakMap<object, string>()
+/** Canonical texts of frozen objects, which many states share. */
+const frozenTextCache = new WeakMap<object, string>()
 
 function canonicalText(value: unknown): string {
   if (typeof value === 'string') return `"${value}"`
   if (typeof value !== 'object' || value === null) return String(value)
   if (!Object.isFrozen(value)) return objectText(value)
-  const known = frozenTexts.get(value) ?? objectText(value)
-  frozenTexts.set(value, known)
-  return known
+  const text = frozenTextCache.get(value) ?? objectText(value)
+  frozenTextCache.set(value, text)
+  return text
 }
 
 function objectText(value: object): string {
@@ -146,7 +148,7 @@
   return `${text}}`
 }
 
-/** A deep copy of plain data, maps and sets. What is frozen is shared. */
+/** Copies plain data, maps and sets deeply. Frozen objects and set members are shared. */
 export function copyState<T>(value: T): T {
   if (typeof value !== 'object' || value === null || Object.isFrozen(value)) return value
   if (value instanceof Map)
--- a/packages/proof/src/models/leaseModel.ts
+++ b/packages/proof/src/models/leaseModel.ts
@@ -19,10 +19,11 @@
   row: LeaseRow
   version: number
   askedAt: number
-  /** The store has decided; the answer is under way. */
+  /** Set when the store has decided and its answer is still in transit. */
   outcome?: 'committed' | 'failed'
 }
 
+/** An order to the engine, with the fencing token of the lease. */
 interface Order {
   box: string
   fence: number
@@ -34,22 +35,24 @@
   row?: LeaseRow
   version: number
   writes: Write[]
-  /** Orders on their way to the engine. */
+  /** Orders in transit to the engine. */
   orders: Order[]
+  /** Highest fencing token that the engine has accepted. */
   engineFence: number
-  /** An order took effect after one with a later fence. */
-  wentBack: boolean
-  faults: number
+  /** An order took effect after one with a higher fencing token. */
+  staleOrderApplied: boolean
+  faultsLeft: number
 }
 
 type LeaseAction = { type: string; box?: string; index?: number }
 
 const BOXES = ['box 1', 'box 2']
 const LAST_TICK = 4
-const FAULTS = 1
+const MAX_FAULTS = 1
+/** In ticks. */
 const LIMITS = { holdFor: 1, lapseAfter: 2, renewEvery: 1 }
 
-/** A lease held by two boxes in turn: writes and orders come late, answers are lost, holders pause. */
+/** A lease held by two boxes in turn: writes and orders arrive late, answers are lost, holders pause. */
 export function createLeaseModel(mutation?: LeaseMutation): Model<LeaseModelState, LeaseAction> {
   const limits =
     mutation === 'lapse before the holder gives up' ? { ...LIMITS, lapseAfter: 0 } : LIMITS
@@ -63,15 +66,15 @@
       writes: [],
       orders: [],
       engineFence: 0,
-      wentBack: false,
-      faults: FAULTS,
+      staleOrderApplied: false,
+      faultsLeft: MAX_FAULTS,
     }),
     actions: leaseActions,
     apply: (state, action) => applyLease(state, action, mutation),
     invariants: {
       'one holder at a time': state =>
         BOXES.filter(box => heldFence(state.boxes[box]!, state.now) !== undefined).length <= 1,
-      'an order never takes effect after one with a later fence': state => !state.wentBack,
+      'an order never takes effect after one with a later fence': state => !state.staleOrderApplied,
       'the fence never goes back': state => state.engineFence <= (state.row?.fence ?? 0),
     },
   }
@@ -79,7 +82,7 @@
 
 function leaseActions(state: LeaseModelState): LeaseAction[] {
   const actions: LeaseAction[] = []
-  // A box that takes no step is a paused one: it acts on when it wakes, with what it knew.
+  // A paused box is one that takes no step; it resumes with its old state.
   for (const box of BOXES) {
     const lease = state.boxes[box]!
     if (!state.writes.some(write => write.box === box))
@@ -93,7 +96,7 @@
       return
     }
     actions.push({ type: 'write is taken', box: write.box, index })
-    if (state.faults > 0) {
+    if (state.faultsLeft > 0) {
       actions.push({ type: 'write is taken and answered late', box: write.box, index })
       actions.push({ type: 'write is lost', box: write.box, index })
       actions.push({ type: 'write is taken and its answer lost', box: write.box, index })
@@ -110,7 +113,7 @@
       state.now++
       return
     case 'look at the row':
-      return look(state, action.box!)
+      return tickLease(state, action.box!)
     case 'order':
       state.orders.push({
         box: action.box!,
@@ -118,18 +121,18 @@
       })
       return
     case 'order arrives':
-      return arrive(state, action.index!, mutation)
+      return deliverOrder(state, action.index!, mutation)
     default:
-      return takeWrite(state, action, mutation)
+      return applyWriteAction(state, action, mutation)
   }
 }
 
-function look(state: LeaseModelState, box: string): void {
+function tickLease(state: LeaseModelState, box: string): void {
   const lease = state.boxes[box]!
-  run(state, box, leaseTransition(lease, { type: 'tick' }, state.now))
+  runEffects(state, box, leaseTransition(lease, { type: 'tick' }, state.now))
 }
 
-function run(state: LeaseModelState, box: string, effects: LeaseEffect[]): void {
+function runEffects(state: LeaseModelState, box: string, effects: LeaseEffect[]): void {
   for (const effect of effects) {
     if (effect.type === 'write-row') {
       const { row, version, askedAt } = effect
@@ -138,7 +141,7 @@
     }
     const lease = state.boxes[box]!
     const row = state.row && { row: { ...state.row } }
-    run(
+    runEffects(
       state,
       box,
       leaseTransition(lease, { type: 'row-read', version: state.version, ...row }, state.now),
@@ -146,25 +149,30 @@
   }
 }
 
-function takeWrite(state: LeaseModelState, action: LeaseAction, mutation?: LeaseMutation): void {
+function applyWriteAction(
+  state: LeaseModelState,
+  action: LeaseAction,
+  mutation?: LeaseMutation,
+): void {
   const write = state.writes[action.index!]!
   if (action.type === 'late answer arrives')
-    return answer(state, action.index!, write.outcome!, mutation)
+    return answerWrite(state, action.index!, write.outcome!, mutation)
   const { row, version } = write
-  const isBlind = mutation === 'take over without looking at the version'
-  const applies = action.type !== 'write is lost' && (version === state.version || isBlind)
-  if (applies) {
+  const ignoresVersion = mutation === 'take over without looking at the version'
+  const isCommitted =
+    action.type !== 'write is lost' && (version === state.version || ignoresVersion)
+  if (isCommitted) {
     state.row = { ...row }
     state.version++
   }
-  const outcome = applies ? 'committed' : 'failed'
-  if (action.type === 'write is taken') return answer(state, action.index!, outcome, mutation)
-  state.faults--
+  const outcome = isCommitted ? 'committed' : 'failed'
+  if (action.type === 'write is taken') return answerWrite(state, action.index!, outcome, mutation)
+  state.faultsLeft--
   if (action.type === 'write is taken and answered late') write.outcome = outcome
-  else answer(state, action.index!, 'failed', mutation)
+  else answerWrite(state, action.index!, 'failed', mutation)
 }
 
-function answer(
+function answerWrite(
   state: LeaseModelState,
   index: number,
   outcome: 'committed' | 'failed',
@@ -172,18 +180,18 @@
 ): void {
   const [write] = state.writes.splice(index, 1)
   const { box, row, askedAt } = write!
-  const asked = mutation === 'count the hold from the answer' ? state.now : askedAt
+  const holdStart = mutation === 'count the hold from the answer' ? state.now : askedAt
   leaseTransition(
     state.boxes[box]!,
-    { type: 'write-answered', askedAt: asked, row, outcome },
+    { type: 'write-answered', askedAt: holdStart, row, outcome },
     state.now,
   )
 }
 
-function arrive(state: LeaseModelState, index: number, mutation?: LeaseMutation): void {
+function deliverOrder(state: LeaseModelState, index: number, mutation?: LeaseMutation): void {
   const [order] = state.orders.splice(index, 1)
   if (order!.fence < state.engineFence) {
-    if (mutation === 'engine does not check the fence') state.wentBack = true
+    if (mutation === 'engine does not check the fence') state.staleOrderApplied = true
     return
   }
   state.engineFence = order!.fence
--- a/packages/proof/src/models/tableModel.ts
+++ b/packages/proof/src/models/tableModel.ts
@@ -25,11 +25,11 @@
   | 'let a restarted box keep its vote'
   | 'call a lost write refused'
 
-/** What may go wrong, beside boxes that are cut off or paused, which any box may be at any time. */
+/** Faults that a model may include. Any box may also be partitioned or paused at any time. */
 export type TableFault =
   'store out' | 'restart' | 'late read' | 'late word' | 'lost answer' | 'late write'
 
-/** What is explored together; all at once would be too much. */
+/** Sets of faults that are explored together: the state space of all of them at once is too large. */
 export const TABLE_FAULTS: TableFault[][] = [
   ['store out', 'lost answer'],
   ['late write'],
@@ -38,7 +38,7 @@
   ['late word'],
 ]
 
-interface Sent {
+interface MessageInTransit {
   to: string
   message: TableMessage
 }
@@ -48,21 +48,21 @@
 interface TableModelState {
   now: number
   boxes: Record<string, TableState>
-  sent: Sent[]
+  inTransit: MessageInTransit[]
   storeUp: boolean
-  /** The change stands in the store since this tick. */
+  /** Tick at which the store accepted the change. */
   acceptedAt?: number
-  /** A tombstone keeps the write from taking effect later. */
+  /** A tombstone in the store keeps the write from taking effect later. */
   fenced: boolean
   commit: CommitStep
-  /** The write is on its way and may take effect late. */
-  writeOpen: boolean
-  told?: ChangeOutcome['outcome']
-  /** The highest revision that each box has served by. */
-  highest: Record<string, number>
-  wentBack: boolean
-  /** Kinds of fault that may still happen, once each. */
-  faults: TableFault[]
+  /** The write is in transit and may take effect late. */
+  writePending: boolean
+  reportedOutcome?: ChangeOutcome['outcome']
+  /** Highest table revision that each box has used. */
+  highestRevisions: Record<string, number>
+  revisionRegressed: boolean
+  /** Faults that may still occur, once each. */
+  faultsLeft: TableFault[]
 }
 
 type TableAction = { type: string; box?: string; from?: string; index?: number }
@@ -73,26 +73,27 @@
 const RESTARTED = 'c/2'
 const VOTERS: VoterSet = Object.freeze({ epoch: 1, voters: [A, B, C] })
 /**
- * Who hears whom, and who reads the store. A proposes, B is the voter that others need, C is the box that may
- * serve what it should not. A's word to C, and what A and B could learn besides, would only make C safer.
+ * Whose heartbeats each box receives, and which boxes read the store. A proposes the change, B completes the
+ * majority, and C may serve a withdrawn version. Heartbeats from A to C, and more inputs to A and B, could
+ * only keep C from doing so, and are left out.
  */
-const HEARS: Record<string, string[]> = { [C]: [B], [RESTARTED]: [B] }
-const READS = [C, RESTARTED]
+const HEARTBEAT_SOURCES: Record<string, string[]> = { [C]: [B], [RESTARTED]: [B] }
+const STORE_READERS = [C, RESTARTED]
 const LAST_TICK = 2
-/** A change is in force everywhere within this many ticks, or what it forbids is refused. */
-const BOUND = 1
+/** Ticks after which a change is in force on every box, or the box refuses what the change forbids. */
+const MAX_STALENESS = 1
 const CHANGE_ID = 'w'
 
 const LIMITS: FreshnessLimits = Object.freeze({
-  freshFor: BOUND,
-  peerWordFor: BOUND,
-  // A box may call the store out at any time: then it is vouched for the sooner.
+  freshFor: MAX_STALENESS,
+  peerWordFor: MAX_STALENESS,
+  // Negative: the store always counts as out, so a majority of peers may confirm a table at any time.
   storeOutAfter: -1,
   settleAfter: 99,
   announceFor: 99,
 })
 
-const rowOf = (state: 'active' | 'withdrawn'): TableRow => ({
+const createRow = (state: 'active' | 'withdrawn'): TableRow => ({
   row: 'version',
   organisation: '*',
   model: 'm',
@@ -100,8 +101,8 @@
   weight: 1,
   state,
 })
-const BEFORE: Table = Object.freeze(createTable(1, [rowOf('active')]))
-const AFTER: Table = Object.freeze(createTable(2, [rowOf('withdrawn')]))
+const TABLE_BEFORE: Table = Object.freeze(createTable(1, [createRow('active')]))
+const TABLE_AFTER: Table = Object.freeze(createTable(2, [createRow('withdrawn')]))
 const PROPOSAL: Proposal = Object.freeze<Proposal>({
   id: CHANGE_ID,
   content: {
@@ -110,15 +111,15 @@
       changeId: CHANGE_ID,
       author: 'o',
       baseRevision: 1,
-      upserts: [rowOf('withdrawn')],
+      upserts: [createRow('withdrawn')],
       removals: [],
     },
   },
 })
 
 /**
- * One withdrawal among three voters: boxes are cut off, restart and forget, words and reads come late, the
- * store goes down and loses answers. A box that does nothing for a while is one that is cut off or paused.
+ * One withdrawal among three voters: boxes are partitioned, or restart without their state; heartbeats and
+ * reads arrive late; the store goes down and loses answers. A box that takes no step is partitioned or paused.
  */
 export function createTableModel(
   mutation?: TableMutation,
@@ -132,35 +133,35 @@
       "tableTransition, resolveFreshness and resolveTablesInDoubt are the product's own; the store is an abstraction",
     initial: () => ({
       now: 0,
-      boxes: Object.fromEntries([A, B, C].map(box => [box, startBox(box, limits)])),
-      sent: [],
+      boxes: Object.fromEntries([A, B, C].map(box => [box, createBox(box, limits)])),
+      inTransit: [],
       storeUp: true,
       fenced: false,
       commit: 'none',
-      writeOpen: false,
-      highest: {},
-      wentBack: false,
-      faults: [...faults],
+      writePending: false,
+      highestRevisions: {},
+      revisionRegressed: false,
+      faultsLeft: [...faults],
     }),
     actions: state => tableActions(state),
     apply: (state, action) => applyTable(state, action, limits, mutation),
     invariants: {
       'a withdrawn version is served by nobody after the bound': state =>
         state.acceptedAt === undefined ||
-        state.now - state.acceptedAt <= BOUND ||
-        !Object.values(state.boxes).some(box => serves(box, state.now, mutation)),
-      'no box goes back to an older revision': state => !state.wentBack,
+        state.now - state.acceptedAt <= MAX_STALENESS ||
+        !Object.values(state.boxes).some(box => servesVersion(box, state.now, mutation)),
+      'no box goes back to an older revision': state => !state.revisionRegressed,
       'what was told refused is not in the store': state =>
-        state.told !== 'refused' || state.acceptedAt === undefined,
+        state.reportedOutcome !== 'refused' || state.acceptedAt === undefined,
       'what was told accepted is in the store': state =>
-        state.told !== 'accepted' || state.acceptedAt !== undefined,
+        state.reportedOutcome !== 'accepted' || state.acceptedAt !== undefined,
     },
   }
 }
 
-function startBox(box: string, limits: FreshnessLimits): TableState {
+function createBox(box: string, limits: FreshnessLimits): TableState {
   const state = createTableState(box, 0, limits)
-  state.table = BEFORE
+  state.table = TABLE_BEFORE
   state.floor = 1
   state.voters = VOTERS
   state.confirmedAt = 0
@@ -168,7 +169,7 @@
   return state
 }
 
-function serves(box: TableState, now: number, mutation?: TableMutation): boolean {
+function servesVersion(box: TableState, now: number, mutation?: TableMutation): boolean {
   if (resolveFreshness(box, now) === 'stale') return false
   const tables =
     mutation === 'do not honour what may be accepted' ? [box.table] : resolveTablesInDoubt(box)
@@ -181,20 +182,24 @@
   const actions: TableAction[] = []
   const boxes = Object.keys(state.boxes)
   if (state.now < LAST_TICK) actions.push({ type: 'time passes' })
-  if (state.commit === 'none' && !state.boxes[A]!.own.has(CHANGE_ID) && state.told === undefined) {
+  if (
+    state.commit === 'none' &&
+    !state.boxes[A]!.own.has(CHANGE_ID) &&
+    state.reportedOutcome === undefined
+  ) {
     actions.push({ type: 'propose', box: A })
   }
-  state.sent.forEach((_sent, index) => actions.push({ type: 'deliver', index }))
-  // A box that is yet to restart forgets what it learns before; only what it was told counts.
-  const willForget = (box: string) => box === C && state.faults.includes('restart')
-  for (const box of boxes.filter(box => !willForget(box))) {
-    const mayRead = state.storeUp && READS.includes(box)
+  state.inTransit.forEach((_message, index) => actions.push({ type: 'deliver', index }))
+  // C takes no step of its own before its restart, which discards its state; messages still reach it.
+  const awaitsRestart = (box: string) => box === C && state.faultsLeft.includes('restart')
+  for (const box of boxes.filter(box => !awaitsRestart(box))) {
+    const mayRead = state.storeUp && STORE_READERS.includes(box)
     if (mayRead) actions.push({ type: 'read the store', box })
-    if (mayRead && state.faults.includes('late read'))
+    if (mayRead && state.faultsLeft.includes('late read'))
       actions.push({ type: 'read the store, answered late', box })
-    for (const from of boxes.filter(other => HEARS[box]?.includes(other))) {
+    for (const from of boxes.filter(other => HEARTBEAT_SOURCES[box]?.includes(other))) {
       actions.push({ type: 'hear a word', box, from })
-      if (state.faults.includes('late word'))
+      if (state.faultsLeft.includes('late word'))
         actions.push({ type: 'a word is sent that comes late', box, from })
     }
     if (state.storeUp && state.boxes[box]!.open.size > 0)
@@ -202,11 +207,12 @@
   }
   if (state.commit === 'ready') actions.push(...commitActions(state))
   if (state.commit === 'unsure' && state.storeUp) actions.push({ type: 'fence the write' })
-  if (state.writeOpen && state.commit !== 'ready' && state.storeUp)
+  if (state.writePending && state.commit !== 'ready' && state.storeUp)
     actions.push({ type: 'late write takes effect' })
-  if (state.storeUp && state.faults.includes('store out')) actions.push({ type: 'store goes down' })
+  if (state.storeUp && state.faultsLeft.includes('store out'))
+    actions.push({ type: 'store goes down' })
   if (!state.storeUp) actions.push({ type: 'store comes up' })
-  if (state.boxes[C] && state.faults.includes('restart')) actions.push({ type: 'c restarts' })
+  if (state.boxes[C] && state.faultsLeft.includes('restart')) actions.push({ type: 'c restarts' })
   if (!state.boxes[C] && !state.boxes[A]!.gone.has(C))
     actions.push({ type: 'hear that c/1 is gone', box: A })
   return actions
@@ -215,10 +221,10 @@
 function commitActions(state: TableModelState): TableAction[] {
   if (!state.storeUp) return [{ type: 'store refuses the write' }]
   const actions: TableAction[] = [{ type: 'write takes effect' }]
-  if (state.faults.includes('lost answer')) {
+  if (state.faultsLeft.includes('lost answer')) {
     actions.push({ type: 'write takes effect and its answer is lost' })
   }
-  if (state.faults.includes('late write')) actions.push({ type: 'write is late' })
+  if (state.faultsLeft.includes('late write')) actions.push({ type: 'write is late' })
   return actions
 }
 
@@ -228,39 +234,40 @@
   limits: FreshnessLimits,
   mutation?: TableMutation,
 ): void {
-  const post = (box: string, message: TableMessage) => postTo(state, box, message, mutation)
+  const send = (box: string, message: TableMessage) => dispatch(state, box, message, mutation)
   switch (action.type) {
     case 'time passes':
       state.now++
       break
     case 'propose':
-      post(A, { type: 'propose', proposal: PROPOSAL })
+      send(A, { type: 'propose', proposal: PROPOSAL })
       break
     case 'deliver': {
-      const [sent] = state.sent.splice(action.index!, 1)
-      if (state.boxes[sent!.to]) post(sent!.to, arriving(state, sent!.message, mutation))
+      const [arrived] = state.inTransit.splice(action.index!, 1)
+      if (state.boxes[arrived!.to])
+        send(arrived!.to, redateHeartbeat(state, arrived!.message, mutation))
       break
     }
     case 'read the store':
-      post(action.box!, readOf(state))
+      send(action.box!, createStoreRead(state))
       break
     case 'read the store, answered late':
-      useUp(state, 'late read')
-      state.sent.push({ to: action.box!, message: readOf(state) })
+      consumeFault(state, 'late read')
+      state.inTransit.push({ to: action.box!, message: createStoreRead(state) })
       break
     case 'hear a word':
-      post(action.box!, wordOf(state, action.from!))
+      send(action.box!, createHeartbeat(state, action.from!))
       break
     case 'a word is sent that comes late':
-      useUp(state, 'late word')
-      state.sent.push({ to: action.box!, message: wordOf(state, action.from!) })
+      consumeFault(state, 'late word')
+      state.inTransit.push({ to: action.box!, message: createHeartbeat(state, action.from!) })
       break
     case 'look at open proposals':
-      settle(state, action.box!, mutation)
+      settleProposal(state, action.box!, mutation)
       break
     case 'store goes down':
       state.storeUp = false
-      useUp(state, 'store out')
+      consumeFault(state, 'store out')
       break
     case 'store comes up':
       state.storeUp = true
@@ -269,49 +276,50 @@
       restart(state, limits, mutation)
       break
     case 'hear that c/1 is gone':
-      post(A, { type: 'voter-gone', voter: C })
+      send(A, { type: 'voter-gone', voter: C })
       break
     default:
       applyCommit(state, action.type, mutation)
   }
-  noteRevisions(state)
-  if (mutation !== 'take words of any age') forgetWhatNoLongerCounts(state)
+  recordRevisions(state)
+  if (mutation !== 'take words of any age') normaliseExpiredEvidence(state)
 }
 
-const LONG_AGO = -9
+const EXPIRED_AT = -9
 
 /**
- * Makes states equal that differ only in what no rule looks at any more: how old evidence is that is too old,
- * and when a proposal was heard of.
+ * Merges states that differ only in values that no rule reads any more: the age of expired evidence, and when
+ * a proposal was received.
  */
-function forgetWhatNoLongerCounts(state: TableModelState): void {
-  const oldest = state.now - BOUND
+function normaliseExpiredEvidence(state: TableModelState): void {
+  const oldestValid = state.now - MAX_STALENESS
   for (const box of Object.values(state.boxes)) {
-    if (box.confirmedAt !== undefined && box.confirmedAt < oldest) box.confirmedAt = LONG_AGO
-    box.storeReadAt = LONG_AGO
+    if (box.confirmedAt !== undefined && box.confirmedAt < oldestValid) box.confirmedAt = EXPIRED_AT
+    box.storeReadAt = EXPIRED_AT
     for (const open of box.open.values()) open.heardAt = 0
-    if (box.table.revision === AFTER.revision) box.table = AFTER
-    for (const [from, word] of box.peers) {
-      const confirmedAt = word.confirmedAt !== undefined &&
-        word.confirmedAt >= oldest && { confirmedAt: word.confirmedAt }
-      const kept: PeerWord = word.asOf < oldest ? { ...NO_WORD } : { ...word }
+    if (box.table.revision === TABLE_AFTER.revision) box.table = TABLE_AFTER
+    for (const [peer, heartbeat] of box.peers) {
+      const confirmedAt = heartbeat.confirmedAt !== undefined &&
+        heartbeat.confirmedAt >= oldestValid && { confirmedAt: heartbeat.confirmedAt }
+      const kept: PeerWord =
+        heartbeat.asOf < oldestValid ? { ...EXPIRED_HEARTBEAT } : { ...heartbeat }
       delete kept.confirmedAt
-      box.peers.set(from, { ...kept, ...confirmedAt })
+      box.peers.set(peer, { ...kept, ...confirmedAt })
     }
   }
 }
 
-const NO_WORD: PeerWord = { asOf: LONG_AGO, revision: 0, storeOut: false }
+const EXPIRED_HEARTBEAT: PeerWord = { asOf: EXPIRED_AT, revision: 0, storeOut: false }
 
-function useUp(state: TableModelState, fault: TableFault): void {
-  state.faults = state.faults.filter(other => other !== fault)
+function consumeFault(state: TableModelState, fault: TableFault): void {
+  state.faultsLeft = state.faultsLeft.filter(other => other !== fault)
 }
 
-/** A restarted box has forgotten all; it takes the table from the first that gives it. */
+/** Restarts C without its state; it takes the table from the first peer or store read that has one. */
 function restart(state: TableModelState, limits: FreshnessLimits, mutation?: TableMutation): void {
-  useUp(state, 'restart')
+  consumeFault(state, 'restart')
   delete state.boxes[C]
-  delete state.highest[C]
+  delete state.highestRevisions[C]
   const name = mutation === 'let a restarted box keep its vote' ? C : RESTARTED
   state.boxes[name] = createTableState(name, state.now, limits)
 }
@@ -319,29 +327,29 @@
 function applyCommit(state: TableModelState, type: string, mutation?: TableMutation): void {
   const answer = (outcome: ChangeOutcome) => {
     state.commit = 'done'
-    state.told = outcome.outcome
-    postTo(state, A, { type: 'commit-answered', id: CHANGE_ID, outcome }, mutation)
+    state.reportedOutcome = outcome.outcome
+    dispatch(state, A, { type: 'commit-answered', id: CHANGE_ID, outcome }, mutation)
   }
   switch (type) {
     case 'store refuses the write':
       return answer({ outcome: 'refused', message: '' })
     case 'write takes effect':
-      if (takeWrite(state)) return answer({ outcome: 'accepted', revision: 2 })
+      if (commitWrite(state)) return answer({ outcome: 'accepted', revision: 2 })
       return answer({ outcome: 'refused', message: '' })
     case 'write takes effect and its answer is lost':
-      takeWrite(state)
-      useUp(state, 'lost answer')
+      commitWrite(state)
+      consumeFault(state, 'lost answer')
       return loseAnswer(state, answer, mutation)
     case 'write is late':
-      state.writeOpen = true
-      useUp(state, 'late write')
+      state.writePending = true
+      consumeFault(state, 'late write')
       return loseAnswer(state, answer, mutation)
     case 'late write takes effect':
-      state.writeOpen = false
-      takeWrite(state)
+      state.writePending = false
+      commitWrite(state)
       return
     case 'fence the write':
-      return answer(fence(state))
+      return answer(fenceWrite(state))
   }
 }
 
@@ -354,25 +362,25 @@
   state.commit = 'unsure'
 }
 
-function takeWrite(state: TableModelState): boolean {
+function commitWrite(state: TableModelState): boolean {
   if (state.fenced || state.acceptedAt !== undefined) return false
   state.acceptedAt = state.now
   return true
 }
 
-/** Reads whether the change was accepted, or makes sure that it never will be. */
-function fence(state: TableModelState): ChangeOutcome {
+/** Reads whether the change was accepted; if not, fences it so that it never will be. */
+function fenceWrite(state: TableModelState): ChangeOutcome {
   if (state.acceptedAt !== undefined) return { outcome: 'accepted', revision: 2 }
   state.fenced = true
   return { outcome: 'refused', message: '' }
 }
 
-function readOf(state: TableModelState): TableMessage {
-  const table = state.acceptedAt === undefined ? BEFORE : AFTER
+function createStoreRead(state: TableModelState): TableMessage {
+  const table = state.acceptedAt === undefined ? TABLE_BEFORE : TABLE_AFTER
   return { type: 'store-read', startedAt: state.now, table, voters: VOTERS }
 }
 
-function wordOf(state: TableModelState, from: string): TableMessage {
+function createHeartbeat(state: TableModelState, from: string): TableMessage {
   const peer = state.boxes[from]!
   const { confirmedAt, table, open, voters } = peer
   const storeOut = state.now - (peer.storeReadAt ?? peer.startedAt) > peer.limits.storeOutAfter
@@ -390,7 +398,8 @@
   }
 }
 
-function arriving(
+/** With the mutation, dates a heartbeat from its arrival; returns other messages unchanged. */
+function redateHeartbeat(
   state: TableModelState,
   message: TableMessage,
   mutation?: TableMutation,
@@ -399,7 +408,7 @@
   return { ...message, word: { ...message.word, asOf: state.now } }
 }
 
-function postTo(
+function dispatch(
   state: TableModelState,
   box: string,
   message: TableMessage,
@@ -408,10 +417,10 @@
   const target = state.boxes[box]
   if (!target) return
   for (const effect of tableTransition(target, message, state.now))
-    run(state, box, effect, mutation)
+    runEffect(state, box, effect, mutation)
 }
 
-function run(
+function runEffect(
   state: TableModelState,
   box: string,
   effect: TableEffect,
@@ -421,7 +430,7 @@
   switch (effect.type) {
     case 'announce':
       for (const to of others) {
-        state.sent.push({
+        state.inTransit.push({
           to,
           message: { type: 'announcement', from: box, proposal: effect.proposal },
         })
@@ -430,8 +439,8 @@
         state.commit = 'ready'
       return
     case 'confirm-announcement':
-      // A confirmation that comes late or not at all only keeps the write from being made.
-      return postTo(
+      // Delivered at once: a late or lost confirmation only keeps the write from being made.
+      return dispatch(
         state,
         effect.to,
         { type: 'announcement-heard', id: effect.id, by: box },
@@ -441,12 +450,13 @@
       if (state.commit === 'none') state.commit = 'ready'
       return
     case 'tell-settled':
-      // The others learn of it from words and reads.
-      if (others.includes(B)) state.sent.push({ to: B, message: { ...effect, type: 'settled' } })
+      // The other boxes learn the outcome from heartbeats and store reads.
+      if (others.includes(B))
+        state.inTransit.push({ to: B, message: { ...effect, type: 'settled' } })
       return
     case 'fetch-table': {
       const from = state.boxes[effect.from]
-      if (from) postTo(state, box, { type: 'table-heard', table: from.table }, mutation)
+      if (from) dispatch(state, box, { type: 'table-heard', table: from.table }, mutation)
       return
     }
     case 'answer':
@@ -457,8 +467,8 @@
   }
 }
 
-function settle(state: TableModelState, box: string, mutation?: TableMutation): void {
-  const outcome = fence(state)
+function settleProposal(state: TableModelState, box: string, mutation?: TableMutation): void {
+  const outcome = fenceWrite(state)
   const accepted = outcome.outcome === 'accepted'
   const message: TableMessage = {
     type: 'settled',
@@ -466,12 +476,12 @@
     accepted,
     ...(accepted && { revision: 2 }),
   }
-  postTo(state, box, message, mutation)
+  dispatch(state, box, message, mutation)
 }
 
-function noteRevisions(state: TableModelState): void {
+function recordRevisions(state: TableModelState): void {
   for (const [box, { table }] of Object.entries(state.boxes)) {
-    if (table.revision < (state.highest[box] ?? 0)) state.wentBack = true
-    state.highest[box] = Math.max(state.highest[box] ?? 0, table.revision)
+    if (table.revision < (state.highestRevisions[box] ?? 0)) state.revisionRegressed = true
+    state.highestRevisions[box] = Math.max(state.highestRevisions[box] ?? 0, table.revision)
   }
 }
--- a/packages/proof/test/histories.test.ts
+++ b/packages/proof/test/histories.test.ts
@@ -4,8 +4,8 @@
 import { DEMO_ROWS } from '../src/world/demoTable.js'
 import { VirtualSystem } from '../src/world/virtualSystem.js'
 
-/** What may happen to a system of boxes; `box` names the one it happens to. */
-const EVENTS: Record<string, (system: VirtualSystem, box: number) => void> = {
+/** Faults and recoveries of a system; `box` is the index of the box that they affect, if any. */
+const FAULT_EVENTS: Record<string, (system: VirtualSystem, box: number) => void> = {
   'store goes down': system => void (system.table.faults.down = true),
   'store comes up': system => void (system.table.faults.down = false),
   'store loses answers': system => void (system.table.faults.loseAnswers = 0.3),
@@ -13,12 +13,12 @@
   'store is well': system =>
     void Object.assign(system.table.faults, { down: false, loseAnswers: 0, slowBy: 0 }),
   'box dies': (system, box) =>
-    !system.boxes[box]!.dead && aliveCount(system) > 3 && system.kill(box),
+    !system.boxes[box]!.dead && countLiveBoxes(system) > 3 && system.kill(box),
   'box starts': (system, box) => system.boxes[box]!.dead && system.restart(box),
   'box is paused': (system, box) => !system.boxes[box]!.dead && system.boxes[box]!.clock.pause(),
   'box wakes': (system, box) => !system.boxes[box]!.dead && system.boxes[box]!.clock.resume(),
-  'box is cut off': (system, box) => cutOff(system, box),
-  'network is whole': system => joinAll(system),
+  'box is cut off': (system, box) => isolateBox(system, box),
+  'network is whole': system => healNetwork(system),
   'service loses answers': system =>
     void (system.services.get('booking')!.faults.loseAnswers = 0.3),
   'service is well': system => void (system.services.get('booking')!.faults.loseAnswers = 0),
@@ -26,28 +26,28 @@
   'engine is well': system => void (system.engines.get('engine-1')!.faults.cutAfter = Infinity),
 }
 
-function aliveCount(system: VirtualSystem): number {
+function countLiveBoxes(system: VirtualSystem): number {
   return system.boxes.filter(box => !box.dead).length
 }
 
-function cutOff(system: VirtualSystem, box: number): void {
+function isolateBox(system: VirtualSystem, box: number): void {
   const { name, storeLink } = system.boxes[box]!
   storeLink.cut = true
   system.network.isLinked = (left, right) => left !== name && right !== name
 }
 
-function joinAll(system: VirtualSystem): void {
+function healNetwork(system: VirtualSystem): void {
   system.network.isLinked = () => true
   for (const box of system.boxes) box.storeLink.cut = false
 }
 
-const event = fc.record({
-  name: fc.constantFrom(...Object.keys(EVENTS)),
+const faultEvent = fc.record({
+  name: fc.constantFrom(...Object.keys(FAULT_EVENTS)),
   box: fc.nat(4),
   gap: fc.integer({ min: 50, max: 4_000 }),
 })
 
-async function runHistory(seed: number, events: { name: string; box: number; gap: number }[]) {
+async function runEvents(seed: number, events: { name: string; box: number; gap: number }[]) {
   const system = new VirtualSystem({
     seed,
     boxCount: 5,
@@ -67,32 +67,32 @@
     8,
     0.4,
   )
-  let highest = 0
+  let highestRevision = 0
   for (const { name, box, gap } of events) {
-    EVENTS[name]!(system, box)
+    FAULT_EVENTS[name]!(system, box)
     await system.clock.advance(gap)
     const revisions = system.boxes.map(each => each.box.services.table.state.table.revision)
-    highest = Math.max(highest, ...revisions)
+    highestRevision = Math.max(highestRevision, ...revisions)
   }
-  EVENTS['store is well']!(system, 0)
-  joinAll(system)
+  FAULT_EVENTS['store is well']!(system, 0)
+  healNetwork(system)
   system.boxes.forEach((_box, index) => {
-    EVENTS['box wakes']!(system, index)
-    EVENTS['box starts']!(system, index)
+    FAULT_EVENTS['box wakes']!(system, index)
+    FAULT_EVENTS['box starts']!(system, index)
   })
   await system.clock.advance(90_000)
-  return { system, callers, highest }
+  return { system, callers, highestRevision }
 }
 
-describe('whole boxes through random histories of faults', () => {
-  it('keep the promises on bills, calls and answers', async function () {
+describe('a system of boxes under a random sequence of faults', () => {
+  it('loses or doubles no bill, runs no call twice, reports no false not-run and returns no wrong answer', async function () {
     this.timeout(120_000)
     await fc.assert(
       fc.asyncProperty(
         fc.nat(1_000),
-        fc.array(event, { minLength: 3, maxLength: 12 }),
+        fc.array(faultEvent, { minLength: 3, maxLength: 12 }),
         async (seed, events) => {
-          const { system, callers } = await runHistory(seed, events)
+          const { system, callers } = await runEvents(seed, events)
           expect(checkPromises(system, callers.results)).to.deep.equal({
             billsLost: 0,
             billsDoubled: 0,
--- a/packages/proof/test/models.test.ts
+++ b/packages/proof/test/models.test.ts
@@ -3,7 +3,7 @@
 import { createDrainModel, type DrainMutation } from '../src/models/drainModel.js'
 import { explore } from '../src/models/explore.js'
 
-describe('the explorer', () => {
+describe('explore', () => {
   const counting = (limit: number) => ({
     name: 'counting',
     stands: 'a test',
@@ -16,20 +16,20 @@
     invariants: { 'stays small': (state: { count: number }) => state.count < limit },
   })
 
-  it('finds the shortest way to a broken invariant', () => {
+  it('returns the shortest trace to a violated invariant', () => {
     expect(explore(counting(4)).violation).to.deep.equal({
       invariant: 'stays small',
       trace: ['two', 'two'],
     })
   })
 
-  it('visits every state once', () => {
+  it('counts each reachable state once', () => {
     expect(explore(counting(100))).to.deep.equal({ states: 7, depth: 3 })
   })
 })
 
-describe('the models', () => {
-  it('hold for claims and for a drain', () => {
+describe('the protocol models', () => {
+  it('satisfy every invariant of the claim and drain protocols', () => {
     expect(explore(createClaimModel()).violation).to.equal(undefined)
     expect(explore(createDrainModel()).violation).to.equal(undefined)
   })
@@ -42,7 +42,7 @@
     'say not-run without knowing the claim',
   ]
   for (const mutation of claimMutations) {
-    it(`break for claims without the rule (${mutation})`, () => {
+    it(`violate an invariant of the claim protocol with the mutation "${mutation}"`, () => {
       expect(explore(createClaimModel(mutation)).violation).not.to.equal(undefined)
     })
   }
@@ -53,7 +53,7 @@
     'stop with unwritten bills',
   ]
   for (const mutation of drainMutations) {
-    it(`break for a drain without the rule (${mutation})`, () => {
+    it(`violate an invariant of the drain protocol with the mutation "${mutation}"`, () => {
       expect(explore(createDrainModel(mutation)).violation).not.to.equal(undefined)
     })
   }
