--- a/packages/proof/src/models/billModel.ts
+++ b/packages/proof/src/models/billModel.ts
@@ -52,7 +52,7 @@
 const REQUESTS = ['r1', 'r2']
 const MAX_FAULTS = 1
 
-/** Bills of two requests at one box with two witnesses, under crashes and lost answers of the store. */
+/** Bills of two requests at one box with two witnesses; boxes crash and store answers are lost. */
 export function createBillModel(mutation?: BillMutation): Model<BillState, BillAction> {
   return {
     name: 'bills',
--- a/packages/proof/src/models/claimModel.ts
+++ b/packages/proof/src/models/claimModel.ts
@@ -37,7 +37,10 @@
 const DIGEST = 'same-call'
 const MAX_FAULTS = 4
 
-/** Claims on one call: attempts race, store answers are lost, boxes pause at any step, the store is down. */
+/**
+ * Claims on one call: attempts race, store answers are lost, boxes pause at any step, the store goes
+ * down.
+ */
 export function createClaimModel(mutation?: ClaimMutation): Model<ClaimState, ClaimAction> {
   const attempt = (): Attempt => ({
     step: 'idle',
--- a/packages/proof/src/models/tableModel.ts
+++ b/packages/proof/src/models/tableModel.ts
@@ -29,7 +29,7 @@
 export type TableFault =
   'store out' | 'restart' | 'late read' | 'late word' | 'lost answer' | 'late write'
 
-/** Sets of faults that are explored together: the state space of all of them at once is too large. */
+/** Sets of faults explored together: the state space of all of them at once is too large. */
 export const TABLE_FAULTS: TableFault[][] = [
   ['store out', 'lost answer'],
   ['late write'],
@@ -73,21 +73,21 @@
 const RESTARTED = 'c/2'
 const VOTERS: VoterSet = Object.freeze({ epoch: 1, voters: [A, B, C] })
 /**
- * Whose heartbeats each box receives, and which boxes read the store. A proposes the change, B completes the
- * majority, and C may serve a withdrawn version. Heartbeats from A to C, and more inputs to A and B, could
- * only keep C from doing so, and are left out.
+ * Whose heartbeats each box receives, and which boxes read the store. A proposes the change, B
+ * completes the majority, and C may serve a withdrawn version. Heartbeats from A to C, and more
+ * inputs to A and B, could only keep C from doing so, and are left out.
  */
 const HEARTBEAT_SOURCES: Record<string, string[]> = { [C]: [B], [RESTARTED]: [B] }
 const STORE_READERS = [C, RESTARTED]
 const LAST_TICK = 2
-/** Ticks after which a change is in force on every box, or the box refuses what the change forbids. */
+/** Ticks after which every box either applies a change or refuses the requests that it forbids. */
 const MAX_STALENESS = 1
 const CHANGE_ID = 'w'
 
 const LIMITS: FreshnessLimits = Object.freeze({
   freshFor: MAX_STALENESS,
   peerWordFor: MAX_STALENESS,
-  // Negative: the store always counts as out, so a majority of peers may confirm a table at any time.
+  // Negative: the store always counts as out, so a majority may confirm a table at any time.
   storeOutAfter: -1,
   settleAfter: 99,
   announceFor: 99,
@@ -118,8 +118,9 @@
 })
 
 /**
- * One withdrawal among three voters: boxes are partitioned, or restart without their state; heartbeats and
- * reads arrive late; the store goes down and loses answers. A box that takes no step is partitioned or paused.
+ * One withdrawal among three voters: boxes are partitioned, or restart without their state; heartbeats
+ * and reads arrive late; the store goes down and loses answers. A box that takes no step is
+ * partitioned or paused.
  */
 export function createTableModel(
   mutation?: TableMutation,
@@ -190,7 +191,7 @@
     actions.push({ type: 'propose', box: A })
   }
   state.inTransit.forEach((_message, index) => actions.push({ type: 'deliver', index }))
-  // C takes no step of its own before its restart, which discards its state; messages still reach it.
+  // C takes no step of its own before its restart discards its state; messages still reach it.
   const awaitsRestart = (box: string) => box === C && state.faultsLeft.includes('restart')
   for (const box of boxes.filter(box => !awaitsRestart(box))) {
     const mayRead = state.storeUp && STORE_READERS.includes(box)
@@ -288,8 +289,8 @@
 const EXPIRED_AT = -9
 
 /**
- * Merges states that differ only in values that no rule reads any more: the age of expired evidence, and when
- * a proposal was received.
+ * Merges states that differ only in values that no rule reads any more: the age of expired evidence,
+ * and when a proposal was received.
  */
 function normaliseExpiredEvidence(state: TableModelState): void {
   const oldestValid = state.now - MAX_STALENESS
@@ -315,7 +316,7 @@
   state.faultsLeft = state.faultsLeft.filter(other => other !== fault)
 }
 
-/** Restarts C without its state; it takes the table from the first peer or store read that has one. */
+/** Restarts C without its state; it takes the table from its first peer message or store read. */
 function restart(state: TableModelState, limits: FreshnessLimits, mutation?: TableMutation): void {
   consumeFault(state, 'restart')
   delete state.boxes[C]
--- a/packages/proof/test/histories.test.ts
+++ b/packages/proof/test/histories.test.ts
@@ -85,7 +85,7 @@
 }
 
 describe('a system of boxes under a random sequence of faults', () => {
-  it('loses or doubles no bill, runs no call twice, reports no false not-run and returns no wrong answer', async function () {
+  it('bills each answer once, runs no call twice, reports no false not-run, answers correctly', async function () {
     this.timeout(120_000)
     await fc.assert(
       fc.asyncProperty(
