--- a/packages/proof/src/measures/faults.ts
+++ b/packages/proof/src/measures/faults.ts
@@ -4,28 +4,30 @@
 import { VirtualSystem, type VirtualEngine } from '../world/virtualSystem.js'
 import { quantileOf, RowCollector, type Measure } from './measureRow.js'
 
-/** A fault: what happens when it strikes and when it ends. */
+/** A fault that is injected into a simulated system and healed after its duration. */
 interface FaultCase {
-  strike(system: VirtualSystem): void
+  inject(system: VirtualSystem): void
   heal(system: VirtualSystem): void
-  /** How long it lasts. */
-  span: Milliseconds
+  duration: Milliseconds
 }
 
-const BEFORE: Milliseconds = 10_000
-const AFTER: Milliseconds = 10_000
-/** Long enough for a silent box's bills to be taken over and written. */
-const REST: Milliseconds = 45_000
-const PER_SECOND = 20
-const VICTIM = 1
-const WATCH_EVERY: Milliseconds = 5
+const BASELINE_DURATION: Milliseconds = 10_000
+const RECOVERY_DURATION: Milliseconds = 10_000
+/** Long enough for other boxes to take over and store the bills of a failed box. */
+const SETTLE_DURATION: Milliseconds = 45_000
+const REQUESTS_PER_SECOND = 20
+const FAULTY_BOX_INDEX = 1
+const POLL_INTERVAL: Milliseconds = 5
 
-const nothing: FaultCase = { strike: () => {}, heal: () => {}, span: 30_000 }
+const noFault: FaultCase = { inject: () => {}, heal: () => {}, duration: 30_000 }
 
-function storeFault(set: Partial<VirtualSystem['table']['faults']>, span: Milliseconds): FaultCase {
+function storeFault(
+  faults: Partial<VirtualSystem['table']['faults']>,
+  duration: Milliseconds,
+): FaultCase {
   return {
-    span,
-    strike: system => void Object.assign(system.table.faults, set),
+    duration,
+    inject: system => void Object.assign(system.table.faults, faults),
     heal: system =>
       void Object.assign(system.table.faults, { down: false, slowBy: 0, loseAnswers: 0 }),
   }
@@ -33,24 +35,24 @@
 
 function boxKilled(index: number): FaultCase {
   return {
-    span: 20_000,
-    strike: system => system.kill(index),
+    duration: 20_000,
+    inject: system => system.kill(index),
     heal: system => system.restart(index),
   }
 }
 
 function boxPaused(index: number): FaultCase {
   return {
-    span: 15_000,
-    strike: system => system.boxes[index]!.clock.pause(),
+    duration: 15_000,
+    inject: system => system.boxes[index]!.clock.pause(),
     heal: system => system.boxes[index]!.clock.resume(),
   }
 }
 
-function boxCutOff(index: number): FaultCase {
+function boxPartitioned(index: number): FaultCase {
   return {
-    span: 20_000,
-    strike(system) {
+    duration: 20_000,
+    inject(system) {
       const name = system.boxes[index]!.name
       system.boxes[index]!.storeLink.cut = true
       system.network.isLinked = (left, right) => left !== name && right !== name
@@ -62,31 +64,31 @@
   }
 }
 
-function dataCentreGone(dataCentre: string): FaultCase {
-  const inside = (system: VirtualSystem) =>
+function dataCentreDown(dataCentre: string): FaultCase {
+  const boxIndexes = (system: VirtualSystem) =>
     system.boxes.flatMap((box, index) => (box.dataCentre === dataCentre ? [index] : []))
-  const engines = (system: VirtualSystem) =>
+  const enginesInside = (system: VirtualSystem) =>
     system.options.engines.filter(engine => engine.dataCentre === dataCentre)
   return {
-    span: 20_000,
-    strike(system) {
-      inside(system).forEach(index => system.kill(index))
-      for (const { id } of engines(system)) system.engines.get(id)!.faults.down = true
+    duration: 20_000,
+    inject(system) {
+      boxIndexes(system).forEach(index => system.kill(index))
+      for (const { id } of enginesInside(system)) system.engines.get(id)!.faults.down = true
     },
     heal(system) {
-      inside(system).forEach(index => system.restart(index))
-      for (const { id } of engines(system)) system.engines.get(id)!.faults.down = false
+      boxIndexes(system).forEach(index => system.restart(index))
+      for (const { id } of enginesInside(system)) system.engines.get(id)!.faults.down = false
     },
   }
 }
 
-/** Both at once; the second strikes a little later and both last as long as the longer. */
-function both(first: FaultCase, second: FaultCase): FaultCase {
+/** Injects the second fault 1.5 s after the first; heals both after the longer duration. */
+function combineFaults(first: FaultCase, second: FaultCase): FaultCase {
   return {
-    span: Math.max(first.span, second.span),
-    strike(system) {
-      first.strike(system)
-      system.clock.after(1_500, () => second.strike(system))
+    duration: Math.max(first.duration, second.duration),
+    inject(system) {
+      first.inject(system)
+      system.clock.after(1_500, () => second.inject(system))
     },
     heal(system) {
       first.heal(system)
@@ -95,10 +97,10 @@
   }
 }
 
-/** Every box is stopped as planned and started anew, one after the other. */
-const rolledBoxes: FaultCase = {
-  span: 40_000,
-  strike(system) {
+/** Drains and restarts the boxes one after the other. */
+const rollingRestart: FaultCase = {
+  duration: 40_000,
+  inject(system) {
     system.boxes.forEach((_box, index) => {
       system.clock.after(index * 4_000, () => {
         const { box } = system.boxes[index]!
@@ -112,9 +114,9 @@
   heal: () => {},
 }
 
-const upstreamsFail: FaultCase = {
-  span: 20_000,
-  strike(system) {
+const upstreamFailures: FaultCase = {
+  duration: 20_000,
+  inject(system) {
     const [first, second] = [...system.engines.values()]
     first!.faults.down = true
     second!.faults.cutAfter = 5
@@ -125,29 +127,29 @@
   },
 }
 
-const storeOut = storeFault({ down: true }, 60_000)
+const storeOutage = storeFault({ down: true }, 60_000)
 
 export const FAULT_CASES: Record<string, FaultCase> = {
-  none: nothing,
-  'store-out-60s': storeOut,
+  none: noFault,
+  'store-out-60s': storeOutage,
   'store-slow': storeFault({ slowBy: 400 }, 30_000),
   'store-loses-10%-of-answers': storeFault({ loseAnswers: 0.1 }, 30_000),
-  'box-killed': boxKilled(VICTIM),
-  'box-paused-15s': boxPaused(VICTIM),
-  'box-cut-off': boxCutOff(VICTIM),
-  'data-centre-gone': dataCentreGone('dc-2'),
-  'boxes-rolled': rolledBoxes,
-  'upstreams-fail': upstreamsFail,
-  'store-out-and-box-killed': both(storeOut, boxKilled(VICTIM)),
-  'store-out-and-box-paused': both(storeOut, boxPaused(VICTIM)),
-  'store-loses-answers-and-box-paused': both(
+  'box-killed': boxKilled(FAULTY_BOX_INDEX),
+  'box-paused-15s': boxPaused(FAULTY_BOX_INDEX),
+  'box-cut-off': boxPartitioned(FAULTY_BOX_INDEX),
+  'data-centre-gone': dataCentreDown('dc-2'),
+  'boxes-rolled': rollingRestart,
+  'upstreams-fail': upstreamFailures,
+  'store-out-and-box-killed': combineFaults(storeOutage, boxKilled(FAULTY_BOX_INDEX)),
+  'store-out-and-box-paused': combineFaults(storeOutage, boxPaused(FAULTY_BOX_INDEX)),
+  'store-loses-answers-and-box-paused': combineFaults(
     storeFault({ loseAnswers: 0.1 }, 20_000),
-    boxPaused(VICTIM),
+    boxPaused(FAULTY_BOX_INDEX),
   ),
-  'two-boxes-killed': both(boxKilled(VICTIM), boxKilled(2)),
+  'two-boxes-killed': combineFaults(boxKilled(FAULTY_BOX_INDEX), boxKilled(2)),
 }
 
-/** The calm case and eight faults, one of each part that can fail. */
+/** The run without a fault and at least one fault of each component. */
 const QUICK_CASES = [
   'none',
   'store-out-60s',
@@ -160,13 +162,13 @@
   'two-boxes-killed',
 ]
 
-/** Whole boxes under faults on a moved clock: what callers got, and which promises broke. */
-export const measureFaults: Measure = async ({ seeds, quick }, note) => {
+/** Runs simulated boxes under faults; reports availability, latency and violated guarantees. */
+export const measureFaults: Measure = async ({ seeds, quick }, reportProgress) => {
   const rows = new RowCollector()
   const names = quick ? QUICK_CASES : Object.keys(FAULT_CASES)
   for (const name of names) {
     for (const seed of quick ? seeds.slice(0, 1) : seeds) {
-      note(`${name}, seed ${seed}`)
+      reportProgress(`${name}, seed ${seed}`)
       const figures = await runFaultCase(FAULT_CASES[name]!, seed)
       for (const [metric, [value, unit]] of Object.entries(figures)) {
         rows.add({ workload: 'campsite', case: name, policy: 'yewkeel', metric, unit }, value)
@@ -178,23 +180,23 @@
 
 type Figures = Record<string, [value: number, unit: string]>
 
-/** One run of one fault. */
+/** Runs one fault case with one seed. */
 export async function runFaultCase(fault: FaultCase, seed: number): Promise<Figures> {
   const system = createFaultSystem(seed)
   await system.start()
   const callers = new CallerPool(system)
-  const from = { ...system.table.counts }
-  const span = BEFORE + fault.span + AFTER
-  callers.run(span, PER_SECOND)
-  await system.clock.advance(BEFORE)
-  fault.strike(system)
-  const change = watchChange(system)
-  await system.clock.advance(fault.span)
+  const countsBefore = { ...system.table.counts }
+  const duration = BASELINE_DURATION + fault.duration + RECOVERY_DURATION
+  callers.run(duration, REQUESTS_PER_SECOND)
+  await system.clock.advance(BASELINE_DURATION)
+  fault.inject(system)
+  const tableChange = trackTableChange(system)
+  await system.clock.advance(fault.duration)
   fault.heal(system)
-  await system.clock.advance(AFTER)
-  const to = { ...system.table.counts }
-  await system.clock.advance(REST)
-  const seconds = span / 1_000
+  await system.clock.advance(RECOVERY_DURATION)
+  const countsAfter = { ...system.table.counts }
+  await system.clock.advance(SETTLE_DURATION)
+  const seconds = duration / 1_000
   const completions = callers.results.filter(result => result.kind === 'completion')
   const holds = callers.results.filter(result => result.kind === 'hold')
   const firstTokens = completions.filter(result => result.answered).map(result => result.firstToken)
@@ -203,8 +205,8 @@
     callers.results,
   )
   return {
-    answeredShare: [shareAnswered(completions), 'share'],
-    callsAnsweredShare: [shareAnswered(holds), 'share'],
+    answeredShare: [answeredFraction(completions), 'share'],
+    callsAnsweredShare: [answeredFraction(holds), 'share'],
     firstTokenP50: [quantileOf(firstTokens, 0.5), 'ms'],
     firstTokenP99: [quantileOf(firstTokens, 0.99), 'ms'],
     holdP50: [
@@ -219,13 +221,13 @@
     callsRunTwice: [callsRunTwice, 'calls'],
     untrueNotRun: [untrueNotRun, 'calls'],
     wrongAnswers: [wrongAnswers, 'answers'],
-    inForceSeconds: [change.seconds(), 's'],
-    storeWritesPerSecond: [(to.writes - from.writes) / seconds, '1/s'],
-    storeReadsPerSecond: [(to.reads - from.reads) / seconds, '1/s'],
+    inForceSeconds: [tableChange.seconds(), 's'],
+    storeWritesPerSecond: [(countsAfter.writes - countsBefore.writes) / seconds, '1/s'],
+    storeReadsPerSecond: [(countsAfter.reads - countsBefore.reads) / seconds, '1/s'],
   }
 }
 
-/** Nine boxes in four data centres before eight engines and a booking service, as on the island. */
+/** Nine boxes in four data centres, eight engines and two instances of the booking service. */
 function createFaultSystem(seed: number): VirtualSystem {
   const engines: VirtualEngine[] = Array.from({ length: 8 }, (_, index) => ({
     id: `engine-${index + 1}`,
@@ -247,38 +249,39 @@
   })
 }
 
-function shareAnswered(results: readonly { answered: boolean }[]): number {
+function answeredFraction(results: readonly { answered: boolean }[]): number {
   if (results.length === 0) return 1
   return results.filter(result => result.answered).length / results.length
 }
 
 /**
- * An operator makes a change while the fault lasts, again and again until it is accepted. Counts from the
- * instant of acceptance until no box serves by an older table.
+ * Submits a table change during the fault, with retries until it is accepted. `seconds()` is the time
+ * from acceptance until every live box has applied the change or refuses requests because its table is
+ * stale.
  */
-function watchChange(system: VirtualSystem): { seconds(): number } {
+function trackTableChange(system: VirtualSystem): { seconds(): number } {
   const { clock } = system
   const row: TableRow = { row: 'service', organisation: '*', service: 'tide-tables' }
   let acceptedAt: Milliseconds | undefined
-  let inForceAt: Milliseconds | undefined
-  const before = system.boxes[0]!.box.services.table.state.table.revision
-  const submit = async (tries: number) => {
-    await system.submit(0, [row], `change-${tries}`)
-    if (acceptedAt === undefined) clock.after(1_000, () => void submit(tries + 1))
+  let appliedAt: Milliseconds | undefined
+  const initialRevision = system.boxes[0]!.box.services.table.state.table.revision
+  const submit = async (attempt: number) => {
+    await system.submit(0, [row], `change-${attempt}`)
+    if (acceptedAt === undefined) clock.after(1_000, () => void submit(attempt + 1))
   }
   clock.after(3_000, () => void submit(1))
-  const watch = () => {
+  const poll = () => {
     const head = system.table.rowOf('table/head')
     const revision = head ? (JSON.parse(head.value) as { revision: number }).revision : 0
-    if (revision > before) acceptedAt ??= clock.now()
-    if (acceptedAt !== undefined && isInForce(system, revision)) inForceAt = clock.now()
-    else clock.after(WATCH_EVERY, watch)
+    if (revision > initialRevision) acceptedAt ??= clock.now()
+    if (acceptedAt !== undefined && isAppliedByAllBoxes(system, revision)) appliedAt = clock.now()
+    else clock.after(POLL_INTERVAL, poll)
   }
-  watch()
-  return { seconds: () => ((inForceAt ?? clock.now()) - (acceptedAt ?? clock.now())) / 1_000 }
+  poll()
+  return { seconds: () => ((appliedAt ?? clock.now()) - (acceptedAt ?? clock.now())) / 1_000 }
 }
 
-function isInForce(system: VirtualSystem, revision: number): boolean {
+function isAppliedByAllBoxes(system: VirtualSystem, revision: number): boolean {
   return system.boxes
     .filter(({ dead }) => !dead)
     .every(({ box }) => {
--- a/packages/proof/src/measures/loadWorld.ts
+++ b/packages/proof/src/measures/loadWorld.ts
@@ -1,9 +1,10 @@
-/** Small engines for load measurements: slots, a queue by priority, a prefix cache; callbacks on a moved clock. */
+/** Discrete-event model of an engine: batch slots, a priority queue and an LRU prefix cache. */
 import type { ManualClock, Milliseconds } from '@yewkeel/decisions'
 
-export interface LoadJob {
+export interface EngineJob {
+  /** A lower number is served first. */
   priority: number
-  /** Prompt blocks, for the prefix cache. */
+  /** Hashes of the prompt blocks, from the start of the prompt. */
   blocks: number[]
   promptTokens: number
   completionTokens: number
@@ -11,7 +12,7 @@
   onEnd(): void
 }
 
-export interface LoadEngineOptions {
+export interface SimulatedEngineOptions {
   slots: number
   tokenMilliseconds: Milliseconds
   prefillTokensPerMillisecond: number
@@ -19,48 +20,48 @@
 }
 
 const TOKENS_PER_BLOCK = 256
-/** A full batch makes each token take this much longer. */
-const BATCH_SLOWDOWN = 0.6
+/** Relative increase of prefill and token time in a full batch. */
+const FULL_BATCH_SLOWDOWN_FRACTION = 0.6
 
-export class LoadEngine {
+export class SimulatedEngine {
   #running = 0
-  #queue: LoadJob[] = []
+  #queue: EngineJob[] = []
   readonly #cache = new Set<number>()
-  /** Tokens made, for the capacity that was used. */
+  /** Completion tokens generated so far. */
   tokens = 0
 
   constructor(
     private readonly clock: ManualClock,
-    readonly options: LoadEngineOptions,
+    readonly options: SimulatedEngineOptions,
   ) {}
 
   get load(): { running: number; waiting: number } {
     return { running: this.#running, waiting: this.#queue.length }
   }
 
-  submit(job: LoadJob): void {
+  submit(job: EngineJob): void {
     if (this.#running < this.options.slots) {
       this.#start(job)
       return
     }
-    const place = this.#queue.findIndex(waiting => waiting.priority > job.priority)
-    if (place === -1) this.#queue.push(job)
-    else this.#queue.splice(place, 0, job)
+    const index = this.#queue.findIndex(waiting => waiting.priority > job.priority)
+    if (index === -1) this.#queue.push(job)
+    else this.#queue.splice(index, 0, job)
   }
 
-  #start(job: LoadJob): void {
+  #start(job: EngineJob): void {
     this.#running++
     const { tokenMilliseconds, prefillTokensPerMillisecond, slots } = this.options
-    const uncached = Math.max(16, job.promptTokens - this.#useCache(job.blocks))
-    const slowdown = 1 + (BATCH_SLOWDOWN * this.#running) / slots
-    const prefill = (uncached / prefillTokensPerMillisecond) * slowdown
+    const uncachedTokens = Math.max(16, job.promptTokens - this.#touchCache(job.blocks))
+    const slowdown = 1 + (FULL_BATCH_SLOWDOWN_FRACTION * this.#running) / slots
+    const prefill = (uncachedTokens / prefillTokensPerMillisecond) * slowdown
     this.clock.after(prefill, () => {
       job.onFirstToken()
       this.clock.after(job.completionTokens * tokenMilliseconds * slowdown, () => this.#end(job))
     })
   }
 
-  #end(job: LoadJob): void {
+  #end(job: EngineJob): void {
     this.#running--
     this.tokens += job.completionTokens
     job.onEnd()
@@ -68,11 +69,12 @@
     if (next) this.#start(next)
   }
 
-  #useCache(blocks: readonly number[]): number {
-    let cached = 0
+  /** Returns the tokens of the cached prefix; caches all blocks and evicts the least recently used. */
+  #touchCache(blocks: readonly number[]): number {
+    let cachedTokens = 0
     let isPrefix = true
     for (const block of blocks) {
-      if (isPrefix && this.#cache.has(block)) cached += TOKENS_PER_BLOCK
+      if (isPrefix && this.#cache.has(block)) cachedTokens += TOKENS_PER_BLOCK
       else isPrefix = false
       this.#cache.delete(block)
       this.#cache.add(block)
@@ -81,6 +83,6 @@
       if (this.#cache.size <= this.options.cacheBlocks) break
       this.#cache.delete(block)
     }
-    return cached
+    return cachedTokens
   }
 }
--- a/packages/proof/src/measures/measureRow.ts
+++ b/packages/proof/src/measures/measureRow.ts
@@ -1,4 +1,4 @@
-/** One figure of a measurement: mean and spread over its runs. */
+/** Statistics of one metric over the runs of one case and policy. */
 export interface MeasureRow {
   workload: string
   case: string
@@ -6,26 +6,26 @@
   metric: string
   unit: string
   mean: number
-  /** Standard deviation over the runs. */
+  /** Population standard deviation over the runs. */
   spread: number
   runs: number
 }
 
 export interface MeasureOptions {
   seeds: number[]
-  /** Ends within 45 s, with fewer cases and seeds. */
+  /** Runs fewer cases and seeds, to end within 45 s. */
   quick: boolean
 }
 
-/** A measurement. Says what it does now through `note`. */
+/** A measurement; calls `reportProgress` with a line of text before each step. */
 export type Measure = (
   options: MeasureOptions,
-  note: (text: string) => void,
+  reportProgress: (text: string) => void,
 ) => Promise<MeasureRow[]>
 
 type Labels = Pick<MeasureRow, 'workload' | 'case' | 'policy' | 'metric' | 'unit'>
 
-/** Gathers figures of runs into rows. */
+/** Aggregates the values of runs by workload, case, policy and metric. */
 export class RowCollector {
   readonly #values = new Map<string, { labels: Labels; values: number[] }>()
 
@@ -40,7 +40,7 @@
     return [...this.#values.values()].map(({ labels, values }) => ({
       ...labels,
       mean: meanOf(values),
-      spread: deviationOf(values),
+      spread: standardDeviationOf(values),
       runs: values.length,
     }))
   }
@@ -51,14 +51,14 @@
   return values.reduce((sum, value) => sum + value, 0) / values.length
 }
 
-export function deviationOf(values: readonly number[]): number {
+export function standardDeviationOf(values: readonly number[]): number {
   const mean = meanOf(values)
   return Math.sqrt(meanOf(values.map(value => (value - mean) ** 2)))
 }
 
-/** The value below which `share` of the values lie. */
-export function quantileOf(values: readonly number[], share: number): number {
+/** The `fraction` quantile of the values, without interpolation; 0 when there are none. */
+export function quantileOf(values: readonly number[], fraction: number): number {
   if (values.length === 0) return 0
   const sorted = values.toSorted((left, right) => left - right)
-  return sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))]!
+  return sorted[Math.min(sorted.length - 1, Math.floor(fraction * sorted.length))]!
 }
--- a/packages/proof/src/measures/overhead.ts
+++ b/packages/proof/src/measures/overhead.ts
@@ -1,4 +1,4 @@
-/** What a box adds to a request, against a bare forwarder of the same libraries, in one run. */
+/** Overhead of a box against a plain HTTP proxy built on the same libraries. */
 import { startStandIns } from '@yewkeel/stand-ins'
 import { createSystemClock, sleep, type Milliseconds } from '@yewkeel/decisions'
 import { DEMO_ROWS } from '../world/demoTable.js'
@@ -7,78 +7,91 @@
 import { applyRows, settingsInputFor } from '../world/startSystem.js'
 import { meanOf, quantileOf, RowCollector, type Measure } from './measureRow.js'
 
-const SHORT_REQUESTS = 6_000
+const SHORT_REQUEST_COUNT = 6_000
 const SHORT_CONCURRENCY = 64
-const OPEN_STREAMS = 800
-const STREAM_TOKENS = 100
+const OPEN_STREAM_COUNT = 800
+const TOKENS_PER_STREAM = 100
 const TOKEN_INTERVAL: Milliseconds = 65
-const LOADERS = 2
-const SETTLE: Milliseconds = 3_000
-const BOXES = 3
+const LOADER_COUNT = 2
+const SETTLE_DURATION: Milliseconds = 3_000
+const BOX_COUNT = 3
 
 const clock = createSystemClock()
 
-/** Compares a box with the forwarder: short answers, then many long streams. Each runs in a process of its own. */
-export const measureOverhead: Measure = async ({ seeds, quick }, note) => {
+/**
+ * Compares a box with a plain proxy under short responses and under many concurrent streams. Boxes,
+ * proxy, upstream and load generators run in separate processes.
+ */
+export const measureOverhead: Measure = async ({ seeds, quick }, reportProgress) => {
   const tokenServer = new Worker()
   const upstream = await tokenServer.ask<string>({ role: 'token-server' })
-  const forwarder = new Worker()
-  const bare = await forwarder.ask<string>({ role: 'forwarder', upstream })
-  const loaders = Array.from({ length: LOADERS }, () => new Worker())
+  const proxy = new Worker()
+  const proxyAddress = await proxy.ask<string>({ role: 'forwarder', upstream })
+  const loaders = Array.from({ length: LOADER_COUNT }, () => new Worker())
   const standIns = await startStandIns({ engines: [], services: [] })
   const boxes = await startBoxes(standIns.addresses, upstream)
   await applyRows(
     boxes[0]!.operatorsAddress,
     DEMO_ROWS.filter(row => row.row !== 'limit'),
   )
-  await sleep(clock, SETTLE)
-  const own = boxes[0]!.entryAddress
+  await sleep(clock, SETTLE_DURATION)
+  const boxAddress = boxes[0]!.entryAddress
   const ratios = { throughput: [] as number[], tokens: [] as number[] }
-  const added = { short: [] as number[], long: [] as number[] }
-  const heap: number[] = []
+  const addedFirstByte = { short: [] as number[], long: [] as number[] }
+  const residentPerStream: number[] = []
   for (let round = 0; round < (quick ? 1 : Math.max(3, seeds.length)); round++) {
-    note(`round ${round + 1}: short answers`)
-    const bareShort = await runShort(loaders, bare)
-    const ownShort = await runShort(loaders, own)
-    ratios.throughput.push(bareShort.took / ownShort.took)
-    added.short.push(ownShort.firstByteMedian - bareShort.firstByteMedian)
-    note(`round ${round + 1}: ${OPEN_STREAMS} open streams`)
-    const bareStreams = await runStreams(loaders, bare)
-    const before = residentBytes(boxes[0]!.pid)
-    const [ownStreams, during] = await Promise.all([
-      runStreams(loaders, own),
-      residentLater(boxes[0]!.pid),
+    reportProgress(`round ${round + 1}: short answers`)
+    const proxyShort = await runShortRequests(loaders, proxyAddress)
+    const boxShort = await runShortRequests(loaders, boxAddress)
+    ratios.throughput.push(proxyShort.took / boxShort.took)
+    addedFirstByte.short.push(boxShort.firstByteMedian - proxyShort.firstByteMedian)
+    reportProgress(`round ${round + 1}: ${OPEN_STREAM_COUNT} open streams`)
+    const proxyStreams = await runStreams(loaders, proxyAddress)
+    const residentBefore = residentBytes(boxes[0]!.pid)
+    const [boxStreams, residentDuring] = await Promise.all([
+      runStreams(loaders, boxAddress),
+      residentBytesMidStream(boxes[0]!.pid),
     ])
     ratios.tokens.push(
-      ownStreams.tokens / ownStreams.took / (bareStreams.tokens / bareStreams.took),
+      boxStreams.tokens / boxStreams.took / (proxyStreams.tokens / proxyStreams.took),
     )
-    added.long.push(ownStreams.firstByteMedian - bareStreams.firstByteMedian)
-    heap.push(Math.max(0, during - before) / OPEN_STREAMS)
+    addedFirstByte.long.push(boxStreams.firstByteMedian - proxyStreams.firstByteMedian)
+    residentPerStream.push(Math.max(0, residentDuring - residentBefore) / OPEN_STREAM_COUNT)
   }
   boxes.forEach(box => box.kill())
-  ;[tokenServer, forwarder, ...loaders].forEach(worker => worker.stop())
+  ;[tokenServer, proxy, ...loaders].forEach(worker => worker.stop())
   await standIns.close()
   const rows = new RowCollector()
-  const add = (which: string, metric: string, unit: string, values: number[]) =>
+  const add = (caseName: string, metric: string, unit: string, values: number[]) =>
     rows.add(
-      { workload: 'loopback', case: which, policy: 'yewkeel', metric, unit },
+      { workload: 'loopback', case: caseName, policy: 'yewkeel', metric, unit },
       quantileOf(values, 0.5),
     )
   add('short answers', 'throughputRatio', 'of bare forwarder', ratios.throughput)
-  add('short answers', 'firstTokenAddedMilliseconds', 'ms', added.short)
-  add(`${OPEN_STREAMS} open streams`, 'tokensPerSecondRatio', 'of bare forwarder', ratios.tokens)
-  add(`${OPEN_STREAMS} open streams`, 'firstTokenAddedMilliseconds', 'ms', added.long)
-  add(`${OPEN_STREAMS} open streams`, 'heapPerOpenStreamBytes', 'resident bytes', heap)
+  add('short answers', 'firstTokenAddedMilliseconds', 'ms', addedFirstByte.short)
+  add(
+    `${OPEN_STREAM_COUNT} open streams`,
+    'tokensPerSecondRatio',
+    'of bare forwarder',
+    ratios.tokens,
+  )
+  add(`${OPEN_STREAM_COUNT} open streams`, 'firstTokenAddedMilliseconds', 'ms', addedFirstByte.long)
+  add(
+    `${OPEN_STREAM_COUNT} open streams`,
+    'heapPerOpenStreamBytes',
+    'resident bytes',
+    residentPerStream,
+  )
   return rows.rows()
 }
 
-/** Three boxes in processes of their own before one upstream. */
+/** Starts three boxes, each in its own process, in front of one upstream. */
 export async function startBoxes(
   addresses: { table: string; boxList: string; ratings: string },
   upstream: string,
 ): Promise<BoxProcess[]> {
   const boxes: BoxProcess[] = []
-  for (let index = 0; index < BOXES; index++) {
+  for (let index = 0; index < BOX_COUNT; index++) {
     const seeds = boxes.map(box => box.peerAddress)
     const box = await startBoxProcess(own =>
       settingsInputFor(index, addresses, seeds, {
@@ -103,15 +116,15 @@
   return boxes
 }
 
-async function residentLater(pid: number): Promise<number> {
-  await sleep(clock, (STREAM_TOKENS * TOKEN_INTERVAL) / 2)
+async function residentBytesMidStream(pid: number): Promise<number> {
+  await sleep(clock, (TOKENS_PER_STREAM * TOKEN_INTERVAL) / 2)
   return residentBytes(pid)
 }
 
-function runShort(loaders: Worker[], address: string): Promise<LoadFigures> {
+function runShortRequests(loaders: Worker[], address: string): Promise<LoadFigures> {
   return runLoad(loaders, {
     address,
-    requests: SHORT_REQUESTS,
+    requests: SHORT_REQUEST_COUNT,
     concurrency: SHORT_CONCURRENCY,
     tokens: 0,
     tokenInterval: 0,
@@ -121,17 +134,17 @@
 function runStreams(loaders: Worker[], address: string): Promise<LoadFigures> {
   return runLoad(loaders, {
     address,
-    requests: OPEN_STREAMS,
-    concurrency: OPEN_STREAMS,
-    tokens: STREAM_TOKENS,
+    requests: OPEN_STREAM_COUNT,
+    concurrency: OPEN_STREAM_COUNT,
+    tokens: TOKENS_PER_STREAM,
     tokenInterval: TOKEN_INTERVAL,
   })
 }
 
-/** Splits a load over the loaders. */
+/** Splits a load evenly over the load generators; throws when a request failed. */
 async function runLoad(
   loaders: Worker[],
-  order: {
+  load: {
     address: string
     requests: number
     concurrency: number
@@ -139,13 +152,13 @@
     tokenInterval: number
   },
 ): Promise<LoadFigures> {
-  const load = {
-    ...order,
-    requests: order.requests / loaders.length,
-    concurrency: order.concurrency / loaders.length,
+  const loadPerWorker = {
+    ...load,
+    requests: load.requests / loaders.length,
+    concurrency: load.concurrency / loaders.length,
   }
   const figures = await Promise.all(
-    loaders.map(loader => loader.ask<LoadFigures>({ role: 'loader', load })),
+    loaders.map(loader => loader.ask<LoadFigures>({ role: 'loader', load: loadPerWorker })),
   )
   const failed = figures.reduce((sum, each) => sum + each.failed, 0)
   if (failed > 0) throw new Error(`${failed} requests of the measurement failed`)
--- a/packages/proof/src/measures/plotRows.ts
+++ b/packages/proof/src/measures/plotRows.ts
@@ -2,7 +2,7 @@
 import { parse, View } from 'vega'
 import type { MeasureRow } from './measureRow.js'
 
-/** A small plot for each metric: the mean of each policy in each case, as SVG. */
+/** Renders an SVG with one bar chart per workload and metric: mean by case and policy. */
 export async function plotRows(rows: readonly MeasureRow[]): Promise<string> {
   const specification: TopLevelSpec = {
     data: {
--- a/packages/proof/src/measures/policyCost.ts
+++ b/packages/proof/src/measures/policyCost.ts
@@ -1,4 +1,4 @@
-/** Cost at the quality target: which model answers, learned from late and partial ratings. */
+/** Cost of model cascades at a quality target, learned from delayed and partial ratings. */
 import { QualityTask, type ServedAnswer, type StageCosts } from '@yewkeel/box'
 import {
   createSeededRandom,
@@ -9,20 +9,23 @@
 } from '@yewkeel/decisions'
 import type { RowCollector } from './measureRow.js'
 import {
-  drawCount,
-  drawGap,
+  drawTokenCount,
+  drawInterarrivalTime,
   drawKind,
   drawOrganisation,
   type Workload,
   type WorkloadKind,
 } from './workload.js'
 
-/** What a request is truly worth with each model; known to the oracle alone. */
+/** A request and the answer that each model would give. Only the oracle chooses by `good`. */
 interface CostRequest {
   organisation: string
   kind: WorkloadKind
+  /** Whether the answer is good, by model. */
   good: Record<string, boolean>
+  /** Confidence score of the answer, by model. */
   confidence: Record<string, number>
+  /** Cost of each cascade stage, the cheapest first. */
   costs: StageCosts[]
 }
 
@@ -31,9 +34,9 @@
   good: boolean
 }
 
-type CostPolicy = (request: CostRequest, world: CostWorld) => Outcome
+type CostPolicy = (request: CostRequest, simulation: CostSimulation) => Outcome
 
-interface CostWorld {
+interface CostSimulation {
   workload: Workload
   clock: ManualClock
   random: Random
@@ -41,24 +44,25 @@
   limit: LimitRow
 }
 
-const PER_SECOND = 20
-const REQUESTS = 24_000
-/** Requests at the start that count for nothing: all policies begin knowing nothing. */
-const WARM_UP = 6_000
-const RATING_DELAY = 30_000
-const RATING_COVERAGE = 0.3
-const TOKEN_MILLISECONDS = 20
-const STATIC_LARGE_SHARE = 0.5
+const REQUESTS_PER_SECOND = 20
+const REQUEST_COUNT = 24_000
+/** Requests excluded from the figures while policies learn. */
+const WARM_UP_REQUESTS = 6_000
+const RATING_DELAY_MILLISECONDS = 30_000
+const RATED_FRACTION = 0.3
+const MILLISECONDS_PER_TOKEN = 20
+const STATIC_LARGE_FRACTION = 0.5
 
 const POLICIES: Record<string, CostPolicy> = {
-  yewkeel: chooseByPlan,
+  yewkeel: serveByCascade,
   'always-costliest': request => serve(request, request.costs.length - 1),
   'always-cheapest': request => serve(request, 0),
-  'static-weights': (request, { random }) => serve(request, random() < STATIC_LARGE_SHARE ? 1 : 0),
-  oracle: request => serve(request, firstGood(request)),
+  'static-weights': (request, { random }) =>
+    serve(request, random() < STATIC_LARGE_FRACTION ? 1 : 0),
+  oracle: request => serve(request, cheapestGoodStage(request)),
 }
 
-/** Runs every policy over the same requests. */
+/** Runs every policy over the same sequence of requests. */
 export function measureCost(workload: Workload, seed: number, rows: RowCollector): void {
   const outcomes = new Map(
     Object.entries(POLICIES).map(([name, policy]) => [name, runPolicy(workload, seed, policy)]),
@@ -79,10 +83,10 @@
   policy: CostPolicy,
 ): { cost: number; quality: number } {
   const clock = new ManualClock()
-  // Requests are drawn from a source of their own, so that all policies meet the same ones.
+  // A separate generator, so that all policies receive the same requests.
   const requests = createSeededRandom(seed)
   const random = createSeededRandom(seed + 1_000_003)
-  const world: CostWorld = {
+  const simulation: CostSimulation = {
     workload,
     clock,
     random,
@@ -90,43 +94,43 @@
     limit: limitRowSchema.parse({
       row: 'limit',
       qualityTarget: workload.qualityTarget,
-      // Answers are not streamed here, so a judged stage delays the whole answer alone.
+      // Responses are not streamed here: judging a stage delays the whole answer, not its first token.
       weighs: workload.weighs === 'latency' ? 'cost' : workload.weighs,
     }),
   }
   let cost = 0
   let good = 0
-  for (let count = 0; count < REQUESTS; count++) {
-    clock.advanceSync(drawGap(PER_SECOND, requests))
-    const outcome = policy(drawRequest(workload, requests), world)
-    if (count < WARM_UP) continue
+  for (let count = 0; count < REQUEST_COUNT; count++) {
+    clock.advanceSync(drawInterarrivalTime(REQUESTS_PER_SECOND, requests))
+    const outcome = policy(drawRequest(workload, requests), simulation)
+    if (count < WARM_UP_REQUESTS) continue
     cost += outcome.cost
     good += outcome.good ? 1 : 0
   }
-  return { cost, quality: good / (REQUESTS - WARM_UP) }
+  return { cost, quality: good / (REQUEST_COUNT - WARM_UP_REQUESTS) }
 }
 
 function drawRequest(workload: Workload, random: Random): CostRequest {
   const kind = drawKind(workload, random)
-  const promptTokens = kind.sharedPromptTokens + drawCount(kind.promptTokens, random)
-  const completionTokens = drawCount(kind.completionTokens, random)
-  // How hard the request is; a model that does well on harder ones does well on easier ones.
-  const hardness = random()
+  const promptTokens = kind.sharedPromptTokens + drawTokenCount(kind.promptTokens, random)
+  const completionTokens = drawTokenCount(kind.completionTokens, random)
+  // Shared by all models: one that answers a request well also answers every easier one well.
+  const difficulty = random()
   const good: Record<string, boolean> = {}
   const confidence: Record<string, number> = {}
   const costs = workload.models.map(model => {
-    good[model.name] = hardness < kind.good[model.name]!
+    good[model.name] = difficulty < kind.good[model.name]!
     confidence[model.name] = drawConfidence(good[model.name]!, random)
     return {
       model: model.name,
       cost: promptTokens * model.promptPrice + completionTokens * model.completionPrice,
-      wholeAnswerMilliseconds: completionTokens * TOKEN_MILLISECONDS,
+      wholeAnswerMilliseconds: completionTokens * MILLISECONDS_PER_TOKEN,
     }
   })
   return { organisation: drawOrganisation(workload, random), kind, good, confidence, costs }
 }
 
-/** Good answers are mostly sure of themselves, bad ones mostly not; both overlap. */
+/** Overlapping distributions: high for most good answers, low for most bad ones. */
 function drawConfidence(good: boolean, random: Random): number {
   return good ? 1 - 0.45 * random() ** 1.5 : 0.25 + 0.55 * random()
 }
@@ -136,15 +140,15 @@
   return { cost, good: good[model]! }
 }
 
-/** The cheapest model whose answer is good; the cheapest of all when none is. */
-function firstGood({ good, costs }: CostRequest): number {
+/** Stage of the cheapest model whose answer is good; 0 when there is none. */
+function cheapestGoodStage({ good, costs }: CostRequest): number {
   const stage = costs.findIndex(({ model }) => good[model])
   return stage === -1 ? 0 : stage
 }
 
-/** The product's own choice. */
-function chooseByPlan(request: CostRequest, world: CostWorld): Outcome {
-  const { quality, limit } = world
+/** Runs the cascade that `QualityTask` chooses, escalating on low confidence. */
+function serveByCascade(request: CostRequest, simulation: CostSimulation): Outcome {
+  const { quality, limit } = simulation
   const { organisation, kind, costs, confidence } = request
   const choice = quality.choose(limit, organisation, kind.name, costs, true)
   let spent = 0
@@ -153,27 +157,27 @@
     spent += cost
     const isLast = stage === costs.length - 1
     if (isLast || !choice.isJudged(stage)) {
-      rateLater(request, model, { promised: choice.promised }, world)
+      scheduleRating(request, model, { promised: choice.promised }, simulation)
       return { cost: spent, good: request.good[model]! }
     }
     const bucket = quality.noteAnswer(kind.name, model, confidence[model]!)
     if (!choice.accepts(stage, confidence[model]!)) continue
-    rateLater(request, model, { bucket, promised: choice.promised }, world)
+    scheduleRating(request, model, { bucket, promised: choice.promised }, simulation)
     return { cost: spent, good: request.good[model]! }
   }
   throw new Error('the cascade has no stage')
 }
 
-function rateLater(
+function scheduleRating(
   request: CostRequest,
   model: string,
-  known: { bucket?: number; promised: number | undefined },
-  world: CostWorld,
+  observation: { bucket?: number; promised: number | undefined },
+  simulation: CostSimulation,
 ): void {
-  const { clock, random, quality } = world
-  if (random() >= RATING_COVERAGE) return
+  const { clock, random, quality } = simulation
+  if (random() >= RATED_FRACTION) return
   const { organisation, kind, good } = request
-  const { bucket, promised } = known
+  const { bucket, promised } = observation
   const answer: ServedAnswer = {
     organisation,
     kind: kind.name,
@@ -182,5 +186,5 @@
     ...(bucket !== undefined && { bucket }),
     ...(promised !== undefined && { promised }),
   }
-  clock.after(RATING_DELAY, () => quality.noteRating(answer, good[model]!))
+  clock.after(RATING_DELAY_MILLISECONDS, () => quality.noteRating(answer, good[model]!))
 }
--- a/packages/proof/src/measures/policyDecision.ts
+++ b/packages/proof/src/measures/policyDecision.ts
@@ -1,4 +1,4 @@
-/** What one decision costs: version, stage, upstream and admission, at today's size and in two years. */
+/** Duration of one routing decision (stage, version, upstream, admission) by deployment size. */
 import { QualityTask } from '@yewkeel/box'
 import {
   admit,
@@ -48,11 +48,11 @@
     organisations: 200,
   },
 ]
-const DECISIONS = 30_000
-const WARM_UP = 10_000
+const DECISION_COUNT = 30_000
+const WARM_UP_DECISIONS = 10_000
 const PROMPT = 'a prompt of a few blocks '.repeat(200)
 
-/** Times single decisions, each from start to end. */
+/** Records the median and the 99th percentile of single decisions, for each size. */
 export function measureDecisions(seed: number, rows: RowCollector): void {
   for (const size of SIZES) {
     const times = timeDecisions(size, seed)
@@ -65,26 +65,26 @@
 function timeDecisions(size: DecisionSize, seed: number): number[] {
   const clock = createSystemClock()
   const random = createSeededRandom(seed)
-  const world = createDecisionWorld(size, random)
+  const state = createDecisionState(size, random)
   const quality = new QualityTask({ clock, random })
   const times: number[] = []
-  for (let count = 0; count < DECISIONS + WARM_UP; count++) {
+  for (let count = 0; count < DECISION_COUNT + WARM_UP_DECISIONS; count++) {
     const organisation = `organisation-${Math.floor(random() * size.organisations)}`
     const startedAt = clock.now()
-    decide(world, quality, organisation, random, count)
-    if (count >= WARM_UP) times.push((clock.now() - startedAt) * 1_000)
+    decide(state, quality, organisation, random, count)
+    if (count >= WARM_UP_DECISIONS) times.push((clock.now() - startedAt) * 1_000)
   }
   return times
 }
 
-interface DecisionWorld {
+interface DecisionState {
   rights: Rights
   pools: Map<string, UpstreamView[]>
   views: Map<string, UpstreamView>
   prefixes: PrefixMap
 }
 
-function createDecisionWorld(size: DecisionSize, random: Random): DecisionWorld {
+function createDecisionState(size: DecisionSize, random: Random): DecisionState {
   const rows: TableRow[] = []
   const models = Math.max(2, Math.ceil(size.versions / 2))
   const names: string[] = []
@@ -125,13 +125,13 @@
 }
 
 function decide(
-  world: DecisionWorld,
+  state: DecisionState,
   quality: QualityTask,
   organisation: string,
   random: Random,
   turn: number,
 ): void {
-  const { rights, pools, views, prefixes } = world
+  const { rights, pools, views, prefixes } = state
   const limit = rights.limitOf(organisation)
   const stages = rights.stagesOf(organisation, 'question')!
   const costs = stages.map((model, index) => ({
--- a/packages/proof/src/measures/policyExposure.ts
+++ b/packages/proof/src/measures/policyExposure.ts
@@ -1,4 +1,4 @@
-/** Bad answers of a bad version before it gets no new sessions, and false halts of good ones. */
+/** Bad answers of a bad candidate version until its rollout halts, and false halts of a good one. */
 import {
   addEvidence,
   blockOf,
@@ -10,43 +10,52 @@
   type Milliseconds,
 } from '@yewkeel/decisions'
 import type { RowCollector } from './measureRow.js'
-import { drawGap, drawKind, type Workload } from './workload.js'
+import { drawInterarrivalTime, drawKind, type Workload } from './workload.js'
 
 interface ExposureCase {
-  /** How many points worse the new version is. */
-  drop: number
-  /** Its share of new sessions. */
+  /** Drop in the probability of a good answer, against the incumbent. */
+  qualityDrop: number
+  /** Fraction of new sessions that are sent to the candidate. */
   weight: number
   ratingDelay: Milliseconds
-  ratingsOut: boolean
+  /** The candidate receives no ratings. */
+  ratingsMissing: boolean
 }
 
-const PER_SECOND = 20
-/** Time before the roll-out in which the old version gathers its evidence. */
-const BEFORE: Milliseconds = 300_000
-const LONGEST: Milliseconds = 1_800_000
-const JUDGE_EVERY: Milliseconds = 500
-const RATING_COVERAGE = 0.5
-const OLD = 'large@1'
-const NEW = 'large@2'
-/** The baseline looks at the last so many ratings, and halts when they are so much worse. */
-const WINDOW = 100
-const WINDOW_DROP = 0.1
+const REQUESTS_PER_SECOND = 20
+/** The incumbent collects evidence alone before the rollout starts. */
+const BASELINE_DURATION: Milliseconds = 300_000
+const MAX_ROLLOUT_DURATION: Milliseconds = 1_800_000
+const EVALUATION_INTERVAL: Milliseconds = 500
+const RATED_FRACTION = 0.5
+const INCUMBENT = 'large@1'
+const CANDIDATE = 'large@2'
+/** Ratings in the window of the `fixed-window` baseline. */
+const WINDOW_SIZE = 100
+/** The baseline halts when the good fraction of the window drops by more. */
+const MAX_WINDOW_DROP = 0.1
 
 const CASES: ExposureCase[] = [
-  ...[0.1, 0.2, 0.4].flatMap(drop =>
-    [0.01, 0.05, 0.2].map(weight => ({ drop, weight, ratingDelay: 2_000, ratingsOut: false })),
+  ...[0.1, 0.2, 0.4].flatMap(qualityDrop =>
+    [0.01, 0.05, 0.2].map(weight => ({
+      qualityDrop,
+      weight,
+      ratingDelay: 2_000,
+      ratingsMissing: false,
+    })),
   ),
   ...[60_000, 600_000].map(ratingDelay => ({
-    drop: 0.2,
+    qualityDrop: 0.2,
     weight: 0.05,
     ratingDelay,
-    ratingsOut: false,
+    ratingsMissing: false,
   })),
-  { drop: 0.2, weight: 0.05, ratingDelay: 2_000, ratingsOut: true },
-  { drop: 0, weight: 0.2, ratingDelay: 2_000, ratingsOut: false },
+  { qualityDrop: 0.2, weight: 0.05, ratingDelay: 2_000, ratingsMissing: true },
+  { qualityDrop: 0, weight: 0.2, ratingDelay: 2_000, ratingsMissing: false },
 ]
-const QUICK_CASES = CASES.filter(({ drop, weight }) => drop === 0.2 && weight === 0.05)
+const QUICK_CASES = CASES.filter(
+  ({ qualityDrop, weight }) => qualityDrop === 0.2 && weight === 0.05,
+)
 
 type ExposurePolicy = 'yewkeel' | 'fixed-window'
 
@@ -59,9 +68,9 @@
 ): void {
   for (const exposure of quick ? QUICK_CASES : CASES) {
     for (const policy of ['yewkeel', 'fixed-window'] as const) {
-      const { bad, halted, served } = runRollOut(workload, seed, exposure, policy)
-      const labels = { workload: workload.name, case: nameOf(exposure), policy }
-      if (exposure.drop === 0) {
+      const { bad, halted, served } = runRollout(workload, seed, exposure, policy)
+      const labels = { workload: workload.name, case: caseNameOf(exposure), policy }
+      if (exposure.qualityDrop === 0) {
         rows.add({ ...labels, metric: 'falseHalts', unit: 'share of roll-outs' }, halted ? 1 : 0)
       } else {
         rows.add({ ...labels, metric: 'badAnswers', unit: 'answers' }, bad)
@@ -72,12 +81,12 @@
   }
 }
 
-function nameOf({ drop, weight, ratingDelay, ratingsOut }: ExposureCase): string {
-  const late = ratingsOut ? 'ratings out' : `ratings ${ratingDelay / 1_000} s late`
-  return `${drop * 100} points worse, ${weight * 100} %, ${late}`
+function caseNameOf({ qualityDrop, weight, ratingDelay, ratingsMissing }: ExposureCase): string {
+  const ratings = ratingsMissing ? 'ratings out' : `ratings ${ratingDelay / 1_000} s late`
+  return `${qualityDrop * 100} points worse, ${weight * 100} %, ${ratings}`
 }
 
-function runRollOut(
+function runRollout(
   workload: Workload,
   seed: number,
   exposure: ExposureCase,
@@ -86,34 +95,35 @@
   const clock = new ManualClock()
   const random = createSeededRandom(seed)
   const evidence = createEvidenceStore('box-1/1')
-  const recent: boolean[] = []
+  const recentRatings: boolean[] = []
   const result = { bad: 0, served: 0, halted: false }
-  let room = Infinity
-  let judgedAt = 0
+  let remainingAnswers = Infinity
+  let evaluatedAt = 0
 
-  const judge = () => {
-    judgedAt = clock.now()
+  const evaluate = () => {
+    evaluatedAt = clock.now()
     if (policy === 'fixed-window') {
-      result.halted ||= isWindowWorse(recent, workload)
+      result.halted ||= isWindowBelowThreshold(recentRatings, workload)
       return
     }
-    const judgement = judgeVersions(totalEvidence(evidence), new Map(), [OLD, NEW]).find(
-      ({ version }) => version === NEW,
-    )
+    const judgement = judgeVersions(totalEvidence(evidence), new Map(), [
+      INCUMBENT,
+      CANDIDATE,
+    ]).find(({ version }) => version === CANDIDATE)
     result.halted ||= judgement?.shownWorse ?? false
-    room = judgement?.room ?? Infinity
+    remainingAnswers = judgement?.room ?? Infinity
   }
-  const answer = (version: string, kind: string, chance: number) => {
-    const good = random() < chance
+  const serveAnswer = (version: string, kind: string, goodProbability: number) => {
+    const good = random() < goodProbability
     const block = blockOf(clock.wallTime())
     addEvidence(evidence, { version, kind, block }, { served: 1 })
-    const isNew = version === NEW
-    if (isNew) {
+    const isCandidate = version === CANDIDATE
+    if (isCandidate) {
       result.served++
-      room--
+      remainingAnswers--
       if (!good) result.bad++
     }
-    const isRated = random() < RATING_COVERAGE && !(exposure.ratingsOut && isNew)
+    const isRated = random() < RATED_FRACTION && !(exposure.ratingsMissing && isCandidate)
     if (!isRated) return
     clock.after(exposure.ratingDelay, () => {
       addEvidence(
@@ -121,28 +131,32 @@
         { version, kind, block: blockOf(clock.wallTime()) },
         good ? { good: 1 } : { bad: 1 },
       )
-      if (isNew) recent.push(good)
+      if (isCandidate) recentRatings.push(good)
     })
   }
 
-  while (clock.now() < BEFORE + LONGEST && !result.halted) {
-    clock.advanceSync(drawGap(PER_SECOND, random))
-    if (clock.now() - judgedAt >= JUDGE_EVERY) judge()
+  while (clock.now() < BASELINE_DURATION + MAX_ROLLOUT_DURATION && !result.halted) {
+    clock.advanceSync(drawInterarrivalTime(REQUESTS_PER_SECOND, random))
+    if (clock.now() - evaluatedAt >= EVALUATION_INTERVAL) evaluate()
     const kind = drawKind(workload, random)
-    const chance = kind.good.large!
-    const isNew = clock.now() > BEFORE && random() < exposure.weight && room > 0 && !result.halted
-    if (isNew) answer(NEW, kind.name, chance - exposure.drop)
-    else answer(OLD, kind.name, chance)
+    const goodProbability = kind.good.large!
+    const isCandidate =
+      clock.now() > BASELINE_DURATION &&
+      random() < exposure.weight &&
+      remainingAnswers > 0 &&
+      !result.halted
+    if (isCandidate) serveAnswer(CANDIDATE, kind.name, goodProbability - exposure.qualityDrop)
+    else serveAnswer(INCUMBENT, kind.name, goodProbability)
   }
   return result
 }
 
-/** The baseline: a threshold on a window of a fixed length. */
-function isWindowWorse(recent: readonly boolean[], workload: Workload): boolean {
-  if (recent.length < WINDOW) return false
-  const good = recent.slice(-WINDOW).filter(Boolean).length / WINDOW
+/** Baseline policy: compares the last ratings with the incumbent's expected quality. */
+function isWindowBelowThreshold(recentRatings: readonly boolean[], workload: Workload): boolean {
+  if (recentRatings.length < WINDOW_SIZE) return false
+  const good = recentRatings.slice(-WINDOW_SIZE).filter(Boolean).length / WINDOW_SIZE
   const shares = workload.kinds.reduce((sum, kind) => sum + kind.share, 0)
-  const usual =
+  const expected =
     workload.kinds.reduce((sum, kind) => sum + kind.share * kind.good.large!, 0) / shares
-  return good < usual - WINDOW_DROP
+  return good < expected - MAX_WINDOW_DROP
 }
--- a/packages/proof/src/measures/policyLoad.ts
+++ b/packages/proof/src/measures/policyLoad.ts
@@ -1,4 +1,4 @@
-/** Choice of upstream and admission under load, through the product's own functions. */
+/** Latency and goodput of upstream selection and admission in a simulation under load. */
 import { PoolUses } from '@yewkeel/box'
 import {
   admit,
@@ -23,11 +23,11 @@
   type UpstreamStrategyName,
   type UpstreamView,
 } from '@yewkeel/decisions'
-import { LoadEngine } from './loadWorld.js'
+import { SimulatedEngine } from './loadWorld.js'
 import { quantileOf, type RowCollector } from './measureRow.js'
 import {
-  drawCount,
-  drawGap,
+  drawTokenCount,
+  drawInterarrivalTime,
   drawKind,
   drawOrganisation,
   type Workload,
@@ -42,23 +42,24 @@
   'two-choices',
 ]
 const LOADS = [0.5, 0.8, 0.95, 1.2]
-const LAGS: Milliseconds[] = [100, 1_000, 5_000]
-const REPORT_EVERY: Milliseconds = 500
-const GOSSIP_EVERY: Milliseconds = 500
-const SPAN: Milliseconds = 120_000
-const WARM_UP: Milliseconds = 30_000
-/** An answer whose first token comes later than this helps nobody. */
+const REPORT_LAGS: Milliseconds[] = [100, 1_000, 5_000]
+const REPORT_INTERVAL: Milliseconds = 500
+const GOSSIP_INTERVAL: Milliseconds = 500
+const RUN_DURATION: Milliseconds = 120_000
+const WARM_UP_DURATION: Milliseconds = 30_000
+/** Tokens of a completion count as goodput only if its first token meets this deadline. */
 const FIRST_TOKEN_DEADLINE: Milliseconds = 10_000
-const HOLD_IN_TIME: Milliseconds = 300
-const CALL_WORK: Milliseconds = 40
-const HOLD_SHARE = 0.15
-const TOKEN_MILLISECONDS = 20
-const PREFILL = 20
+/** Response time within which a hold of the booking service counts as in time. */
+const HOLD_LATENCY_OBJECTIVE: Milliseconds = 300
+const CALL_DURATION: Milliseconds = 40
+const HOLD_FRACTION = 0.15
+const MILLISECONDS_PER_TOKEN = 20
+const PREFILL_TOKENS_PER_MILLISECOND = 20
 const CACHE_BLOCKS = 96
 
-interface LoadBox {
-  views: UpstreamView[]
-  services: UpstreamView[]
+interface SimulatedBox {
+  engineViews: UpstreamView[]
+  serviceViews: UpstreamView[]
   prefixes: PrefixMap
   uses: PoolUses
   turn: number
@@ -74,16 +75,16 @@
 
 interface LoadResult {
   firstTokens: number[]
-  totals: number[]
+  responseTimes: number[]
   goodTokens: number
   capacityTokens: number
   holds: number
   holdsInTime: number
-  asked: number
+  requestCount: number
   refused: number
 }
 
-/** Runs every policy, load and lag. Baselines have no admission; `predicted` has the product's. */
+/** Runs every policy, load and report lag. Only `predicted` has prefix affinity and admission. */
 export function measureLoad(
   workload: Workload,
   seed: number,
@@ -91,9 +92,16 @@
   rows: RowCollector,
 ): void {
   for (const load of quick ? [0.95, 1.2] : LOADS) {
-    for (const lag of quick ? [1_000] : LAGS) {
+    for (const reportLag of quick ? [1_000] : REPORT_LAGS) {
       for (const policy of POLICIES) {
-        addRows(rows, workload, load, lag, policy, runLoad(workload, seed, load, lag, policy))
+        addRows(
+          rows,
+          workload,
+          load,
+          reportLag,
+          policy,
+          runLoad(workload, seed, load, reportLag, policy),
+        )
       }
     }
   }
@@ -103,13 +111,13 @@
   rows: RowCollector,
   workload: Workload,
   load: number,
-  lag: Milliseconds,
+  reportLag: Milliseconds,
   policy: UpstreamStrategyName,
   result: LoadResult,
 ): void {
   const labels = {
     workload: workload.name,
-    case: `${load * 100} % of capacity, reports ${lag / 1_000} s late`,
+    case: `${load * 100} % of capacity, reports ${reportLag / 1_000} s late`,
     policy: policy === 'predicted' ? 'yewkeel' : policy,
   }
   const add = (metric: string, unit: string, value: number) =>
@@ -117,64 +125,64 @@
   add('firstTokenP50', 'ms', quantileOf(result.firstTokens, 0.5))
   add('firstTokenP95', 'ms', quantileOf(result.firstTokens, 0.95))
   add('firstTokenP99', 'ms', quantileOf(result.firstTokens, 0.99))
-  add('totalP99', 'ms', quantileOf(result.totals, 0.99))
+  add('totalP99', 'ms', quantileOf(result.responseTimes, 0.99))
   add('goodput', 'share of capacity', result.goodTokens / result.capacityTokens)
   add('holdsInTime', 'share of holds', result.holds === 0 ? 1 : result.holdsInTime / result.holds)
-  add('refusedShare', 'share of requests', result.refused / result.asked)
+  add('refusedShare', 'share of requests', result.refused / result.requestCount)
 }
 
 function runLoad(
   workload: Workload,
   seed: number,
   load: number,
-  lag: Milliseconds,
+  reportLag: Milliseconds,
   policy: UpstreamStrategyName,
 ): LoadResult {
   const clock = new ManualClock()
   const random = createSeededRandom(seed)
-  const world = createWorld(workload, clock)
+  const simulation = createSimulation(workload, clock)
   const result: LoadResult = {
     firstTokens: [],
-    totals: [],
+    responseTimes: [],
     goodTokens: 0,
     capacityTokens: 0,
     holds: 0,
     holdsInTime: 0,
-    asked: 0,
+    requestCount: 0,
     refused: 0,
   }
-  startReports(world, clock, lag)
-  startGossip(world, clock)
+  startReports(simulation, clock, reportLag)
+  startGossip(simulation, clock)
   const capacity = capacityOf(workload)
   runArrivals(clock, random, capacity.completionsPerSecond * load, () =>
-    askCompletion(workload, world, clock, random, policy, result),
+    sendCompletion(workload, simulation, clock, random, policy, result),
   )
   runArrivals(clock, random, capacity.callsPerSecond * load, () =>
-    askCall(world, clock, random, policy, result),
+    sendCall(simulation, clock, random, policy, result),
   )
-  clock.advanceSync(SPAN)
-  result.capacityTokens = (capacity.tokensPerSecond * (SPAN - WARM_UP)) / 1_000
+  clock.advanceSync(RUN_DURATION)
+  result.capacityTokens = (capacity.tokensPerSecond * (RUN_DURATION - WARM_UP_DURATION)) / 1_000
   return result
 }
 
-interface LoadWorld {
-  engines: LoadEngine[]
-  services: LoadEngine[]
-  boxes: LoadBox[]
+interface LoadSimulation {
+  engines: SimulatedEngine[]
+  services: SimulatedEngine[]
+  boxes: SimulatedBox[]
   sessions: Session[]
 }
 
-function createWorld(workload: Workload, clock: ManualClock): LoadWorld {
+function createSimulation(workload: Workload, clock: ManualClock): LoadSimulation {
   const { engines, slots, serviceRunners, boxes, dataCentres } = workload
   const engineOptions = {
     slots,
-    tokenMilliseconds: TOKEN_MILLISECONDS,
-    prefillTokensPerMillisecond: PREFILL,
+    tokenMilliseconds: MILLISECONDS_PER_TOKEN,
+    prefillTokensPerMillisecond: PREFILL_TOKENS_PER_MILLISECOND,
     cacheBlocks: CACHE_BLOCKS,
   }
   const serviceOptions = {
     ...engineOptions,
-    tokenMilliseconds: CALL_WORK,
+    tokenMilliseconds: CALL_DURATION,
     prefillTokensPerMillisecond: 1_000,
   }
   const viewsOf = (prefix: string, count: number) =>
@@ -188,13 +196,16 @@
       }),
     )
   return {
-    engines: Array.from({ length: engines }, () => new LoadEngine(clock, engineOptions)),
-    services: Array.from({ length: serviceRunners }, () => new LoadEngine(clock, serviceOptions)),
+    engines: Array.from({ length: engines }, () => new SimulatedEngine(clock, engineOptions)),
+    services: Array.from(
+      { length: serviceRunners },
+      () => new SimulatedEngine(clock, serviceOptions),
+    ),
     boxes: Array.from({ length: boxes }, () => ({
-      views: viewsOf('engine', engines),
-      services: viewsOf('service', serviceRunners).map(view => ({
+      engineViews: viewsOf('engine', engines),
+      serviceViews: viewsOf('service', serviceRunners).map(view => ({
         ...view,
-        requestMilliseconds: CALL_WORK,
+        requestMilliseconds: CALL_DURATION,
         firstTokenMilliseconds: 1,
       })),
       prefixes: new PrefixMap(),
@@ -205,72 +216,87 @@
   }
 }
 
-/** What the engines can do with a full batch, prompts uncached but for what every prompt of a kind shares. */
+/** Throughput with full batches, when only the shared prefix of each kind is cached. */
 function capacityOf(workload: Workload) {
   const { kinds, engines, slots, serviceRunners } = workload
   const shares = kinds.reduce((sum, kind) => sum + kind.share, 0)
   const mean = (valueOf: (kind: WorkloadKind) => number) =>
     kinds.reduce((sum, kind) => sum + (kind.share / shares) * valueOf(kind), 0)
-  const fullBatch = 1.6
-  const busy = mean(
-    kind => (kind.promptTokens / PREFILL + kind.completionTokens * TOKEN_MILLISECONDS) * fullBatch,
+  const fullBatchSlowdown = 1.6
+  const slotMilliseconds = mean(
+    kind =>
+      (kind.promptTokens / PREFILL_TOKENS_PER_MILLISECOND +
+        kind.completionTokens * MILLISECONDS_PER_TOKEN) *
+      fullBatchSlowdown,
   )
-  const completionsPerSecond = (engines * slots * 1_000) / busy
+  const completionsPerSecond = (engines * slots * 1_000) / slotMilliseconds
   return {
     completionsPerSecond,
     tokensPerSecond: completionsPerSecond * mean(kind => kind.completionTokens),
-    callsPerSecond: (serviceRunners * slots * 1_000) / (CALL_WORK * fullBatch),
+    callsPerSecond: (serviceRunners * slots * 1_000) / (CALL_DURATION * fullBatchSlowdown),
   }
 }
 
-function startReports(world: LoadWorld, clock: ManualClock, lag: Milliseconds): void {
+function startReports(
+  simulation: LoadSimulation,
+  clock: ManualClock,
+  reportLag: Milliseconds,
+): void {
   const report = () => {
     const at = clock.now()
-    const loads = world.engines.map(engine => engine.load)
-    const serviceLoads = world.services.map(service => service.load)
-    clock.after(lag, () => {
-      for (const box of world.boxes) {
-        box.views.forEach((view, index) => noteReport(view, { at, ...loads[index]! }))
-        box.services.forEach((view, index) => noteReport(view, { at, ...serviceLoads[index]! }))
+    const loads = simulation.engines.map(engine => engine.load)
+    const serviceLoads = simulation.services.map(service => service.load)
+    clock.after(reportLag, () => {
+      for (const box of simulation.boxes) {
+        box.engineViews.forEach((view, index) => noteReport(view, { at, ...loads[index]! }))
+        box.serviceViews.forEach((view, index) => noteReport(view, { at, ...serviceLoads[index]! }))
       }
     })
-    clock.after(REPORT_EVERY, report)
+    clock.after(REPORT_INTERVAL, report)
   }
   report()
 }
 
-/** Heartbeats: what each box has under way at each upstream. */
-function startGossip(world: LoadWorld, clock: ManualClock): void {
-  const totalsOf = (pick: (box: LoadBox) => UpstreamView[]) =>
-    pick(world.boxes[0]!).map((_view, index) =>
-      world.boxes.reduce((sum, box) => sum + pick(box)[index]!.inFlight, 0),
+/** Sends every box the other boxes' requests in flight at each upstream, once per interval. */
+function startGossip(simulation: LoadSimulation, clock: ManualClock): void {
+  const totalsOf = (viewsIn: (box: SimulatedBox) => UpstreamView[]) =>
+    viewsIn(simulation.boxes[0]!).map((_view, index) =>
+      simulation.boxes.reduce((sum, box) => sum + viewsIn(box)[index]!.inFlight, 0),
     )
-  const tell = () => {
-    for (const pick of [(box: LoadBox) => box.views, (box: LoadBox) => box.services]) {
-      const totals = totalsOf(pick)
-      for (const box of world.boxes) {
-        pick(box).forEach((view, index) => (view.peersInFlight = totals[index]! - view.inFlight))
+  const exchange = () => {
+    for (const viewsIn of [
+      (box: SimulatedBox) => box.engineViews,
+      (box: SimulatedBox) => box.serviceViews,
+    ]) {
+      const totals = totalsOf(viewsIn)
+      for (const box of simulation.boxes) {
+        viewsIn(box).forEach((view, index) => (view.peersInFlight = totals[index]! - view.inFlight))
       }
     }
-    clock.after(GOSSIP_EVERY, tell)
+    clock.after(GOSSIP_INTERVAL, exchange)
   }
-  tell()
+  exchange()
 }
 
-function runArrivals(clock: ManualClock, random: Random, perSecond: number, ask: () => void): void {
+function runArrivals(
+  clock: ManualClock,
+  random: Random,
+  perSecond: number,
+  sendRequest: () => void,
+): void {
   const next = () => {
-    ask()
-    clock.after(drawGap(perSecond, random), next)
+    sendRequest()
+    clock.after(drawInterarrivalTime(perSecond, random), next)
   }
-  clock.after(drawGap(perSecond, random), next)
+  clock.after(drawInterarrivalTime(perSecond, random), next)
 }
 
-function nextSession(workload: Workload, world: LoadWorld, random: Random): Session {
+function nextSession(workload: Workload, simulation: LoadSimulation, random: Random): Session {
   const kind = drawKind(workload, random)
-  const running = world.sessions.filter(session => session.kind === kind)
-  const share = (kind.turns - 1) / kind.turns
-  const session = running[Math.floor(random() * running.length)]
-  if (session && random() < share) return session
+  const openSessions = simulation.sessions.filter(session => session.kind === kind)
+  const continuationFraction = (kind.turns - 1) / kind.turns
+  const session = openSessions[Math.floor(random() * openSessions.length)]
+  if (session && random() < continuationFraction) return session
   const organisation = drawOrganisation(workload, random)
   const blocks = Array.from({ length: kind.sharedPromptTokens / 256 }, (_, index) =>
     hashText(`${organisation}/${kind.name}/${index}`),
@@ -282,35 +308,36 @@
     promptTokens: kind.sharedPromptTokens,
     turnsLeft: kind.turns,
   }
-  if (kind.turns > 1) world.sessions.push(created)
+  if (kind.turns > 1) simulation.sessions.push(created)
   return created
 }
 
-function askCompletion(
+function sendCompletion(
   workload: Workload,
-  world: LoadWorld,
+  simulation: LoadSimulation,
   clock: ManualClock,
   random: Random,
   policy: UpstreamStrategyName,
   result: LoadResult,
 ): void {
-  const session = nextSession(workload, world, random)
+  const session = nextSession(workload, simulation, random)
   const { kind, organisation } = session
-  const box = world.boxes[Math.floor(random() * world.boxes.length)]!
-  const completionTokens = drawCount(kind.completionTokens, random)
-  session.promptTokens += drawCount(kind.promptTokens, random)
+  const box = simulation.boxes[Math.floor(random() * simulation.boxes.length)]!
+  const completionTokens = drawTokenCount(kind.completionTokens, random)
+  session.promptTokens += drawTokenCount(kind.promptTokens, random)
   while (session.blocks.length < Math.floor(session.promptTokens / 256)) {
     session.blocks.push(hashText(`${organisation}/${session.blocks.length}/${random()}`))
   }
-  if (--session.turnsLeft <= 0) world.sessions = world.sessions.filter(other => other !== session)
+  if (--session.turnsLeft <= 0)
+    simulation.sessions = simulation.sessions.filter(other => other !== session)
   const cached = box.prefixes.match(session.blocks)
   const request = {
     dataCentre: '',
     promptTokens: session.promptTokens,
     cachedTokensOf: (id: string) => cached.get(id) ?? 0,
   }
-  const isCounted = clock.now() > WARM_UP
-  if (isCounted) result.asked++
+  const isCounted = clock.now() > WARM_UP_DURATION
+  if (isCounted) result.requestCount++
   const share = workload.organisations.find(other => other.name === organisation)!.share
   const admission: AdmissionRequest = {
     organisation,
@@ -318,52 +345,52 @@
     isCall: false,
     deadline: clock.now() + FIRST_TOKEN_DEADLINE,
   }
-  const affine = box.views.filter(view => cached.has(view.id))
+  const affine = box.engineViews.filter(view => cached.has(view.id))
   const view = chooseAndAdmit(box, 'engines', { affine, request, admission, policy }, clock, random)
   if (!view) {
     if (isCounted) result.refused++
     return
   }
-  const askedAt = clock.now()
-  const queue = predictQueue(view, askedAt)
-  noteSent(view, askedAt)
+  const sentAt = clock.now()
+  const queue = predictQueue(view, sentAt)
+  noteSent(view, sentAt)
   box.uses.add('engines', organisation, share)
   box.prefixes.note(session.blocks, view.id)
   let firstTokenAfter = 0
-  world.engines[box.views.indexOf(view)]!.submit({
+  simulation.engines[box.engineViews.indexOf(view)]!.submit({
     priority: 5,
     blocks: [...session.blocks],
     promptTokens: session.promptTokens,
     completionTokens,
     onFirstToken() {
-      firstTokenAfter = clock.now() - askedAt
+      firstTokenAfter = clock.now() - sentAt
       noteFirstToken(view, firstTokenAfter, queue)
       if (isCounted) result.firstTokens.push(firstTokenAfter)
     },
     onEnd() {
       noteEnded(view, clock.now())
-      noteSuccess(view, clock.now() - askedAt)
+      noteSuccess(view, clock.now() - sentAt)
       box.uses.remove('engines', organisation)
-      if (isCounted) result.totals.push(clock.now() - askedAt)
-      // By when it ended: what long answers began before the count makes up for what ends after it.
+      if (isCounted) result.responseTimes.push(clock.now() - sentAt)
+      // Counted by end time: answers begun in the warm-up make up for those that end after the run.
       const isUseful = firstTokenAfter <= FIRST_TOKEN_DEADLINE
-      if (clock.now() > WARM_UP && isUseful) result.goodTokens += completionTokens
+      if (clock.now() > WARM_UP_DURATION && isUseful) result.goodTokens += completionTokens
     },
   })
 }
 
-/** A call to the booking service: a look at what is free, or a hold that must be in time. */
-function askCall(
-  world: LoadWorld,
+/** Sends a call to the booking service: an availability query or a hold with a latency objective. */
+function sendCall(
+  simulation: LoadSimulation,
   clock: ManualClock,
   random: Random,
   policy: UpstreamStrategyName,
   result: LoadResult,
 ): void {
-  const box = world.boxes[Math.floor(random() * world.boxes.length)]!
-  const isHold = random() < HOLD_SHARE
+  const box = simulation.boxes[Math.floor(random() * simulation.boxes.length)]!
+  const isHold = random() < HOLD_FRACTION
   const request = { dataCentre: '', promptTokens: 0, cachedTokensOf: () => 0 }
-  const isCounted = clock.now() > WARM_UP
+  const isCounted = clock.now() > WARM_UP_DURATION
   if (isCounted && isHold) result.holds++
   const admission: AdmissionRequest = {
     organisation: 'all',
@@ -371,12 +398,12 @@
     isCall: isHold,
     deadline: clock.now() + FIRST_TOKEN_DEADLINE,
   }
-  const asked = { affine: [], request, admission, policy }
-  const view = chooseAndAdmit(box, 'services', asked, clock, random)
+  const input = { affine: [], request, admission, policy }
+  const view = chooseAndAdmit(box, 'services', input, clock, random)
   if (!view) return
-  const askedAt = clock.now()
-  noteSent(view, askedAt)
-  world.services[box.services.indexOf(view)]!.submit({
+  const sentAt = clock.now()
+  noteSent(view, sentAt)
+  simulation.services[box.serviceViews.indexOf(view)]!.submit({
     priority: 5,
     blocks: [],
     promptTokens: 1,
@@ -384,31 +411,32 @@
     onFirstToken() {},
     onEnd() {
       noteEnded(view, clock.now())
-      noteSuccess(view, clock.now() - askedAt)
-      if (isCounted && isHold && clock.now() - askedAt <= HOLD_IN_TIME) result.holdsInTime++
+      noteSuccess(view, clock.now() - sentAt)
+      if (isCounted && isHold && clock.now() - sentAt <= HOLD_LATENCY_OBJECTIVE)
+        result.holdsInTime++
     },
   })
 }
 
 type PoolName = 'engines' | 'services'
 
-interface AskedRequest {
+interface RoutingInput {
   affine: UpstreamView[]
   request: RequestOutlook
   admission: AdmissionRequest
   policy: UpstreamStrategyName
 }
 
-/** The upstream that the policy chooses. Only the product's own policy has affinity and admission. */
+/** The upstream that the policy chooses; undefined when there is none or admission refuses. */
 function chooseAndAdmit(
-  box: LoadBox,
+  box: SimulatedBox,
   poolName: PoolName,
-  { affine, request, admission, policy }: AskedRequest,
+  { affine, request, admission, policy }: RoutingInput,
   clock: ManualClock,
   random: Random,
 ): UpstreamView | undefined {
   const now = clock.now()
-  const pool = poolName === 'engines' ? box.views : box.services
+  const pool = poolName === 'engines' ? box.engineViews : box.serviceViews
   const isPredicted = policy === 'predicted'
   const view = chooseUpstream(policy, {
     pool,
@@ -425,7 +453,7 @@
 }
 
 function poolOutlook(
-  box: LoadBox,
+  box: SimulatedBox,
   views: readonly UpstreamView[],
   firstToken: Milliseconds,
   pool: PoolName,
--- a/packages/proof/src/measures/slopes.ts
+++ b/packages/proof/src/measures/slopes.ts
@@ -1,4 +1,4 @@
-/** Slopes from which the two-year size is worked out: each figure at three sizes or more. */
+/** Resource use at several sizes, to extrapolate linearly to larger deployments. */
 import {
   addEvidence,
   createEvidenceStore,
@@ -27,43 +27,43 @@
 const STREAM_COUNTS = [200, 400, 800]
 const ROW_COUNTS = [500, 2_000, 8_000]
 const REVISION_COUNTS = [10, 100, 1_000]
-const VIRTUAL_SECONDS = 20
-const STREAM_TOKENS = 90
-const TOKEN_INTERVAL = 65
+const SIMULATED_SECONDS = 20
+const TOKENS_PER_STREAM = 90
+const TOKEN_INTERVAL_MILLISECONDS = 65
 const DATA_CENTRES = 4
 
-/** Every slope, control and serving apart. */
-export const measureSlopes: Measure = async ({ quick }, note) => {
+/** Measures the control plane and the request path separately. */
+export const measureSlopes: Measure = async ({ quick }, reportProgress) => {
   const rows = new RowCollector()
   for (const boxes of quick ? BOX_COUNTS.slice(0, 3) : BOX_COUNTS) {
-    note(`${boxes} boxes at rest`)
+    reportProgress(`${boxes} boxes at rest`)
     await measureBoxes(boxes, rows)
   }
   for (const upstreams of quick ? UPSTREAM_COUNTS.slice(0, 2) : UPSTREAM_COUNTS) {
-    note(`${upstreams} upstreams watched by a box`)
+    reportProgress(`${upstreams} upstreams watched by a box`)
     await measureUpstreams(upstreams, rows)
   }
-  note('rows, revisions, bills and evidence')
+  reportProgress('rows, revisions, bills and evidence')
   ROW_COUNTS.forEach(count => measureTable(count, rows))
   REVISION_COUNTS.forEach(count => measureRevisions(count, rows))
   measureMessages(rows)
-  note('decisions')
+  reportProgress('decisions')
   measureDecisions(1, rows)
-  note('open streams')
+  reportProgress('open streams')
   await measureStreams(quick ? STREAM_COUNTS.slice(0, 1) : STREAM_COUNTS, rows)
   return rows.rows()
 }
 
-function adder(rows: RowCollector, group: string, size: string) {
+function createRowAdder(rows: RowCollector, group: string, size: string) {
   return (metric: string, unit: string, value: number) =>
     rows.add({ workload: group, case: size, policy: 'yewkeel', metric, unit }, value)
 }
 
-/** Processor seconds that this process used while `run` ran. */
-async function processorOf(run: () => Promise<void>): Promise<number> {
-  const from = process.cpuUsage()
+/** CPU time in seconds, user and system, of this process during `run`. */
+async function processorSecondsDuring(run: () => Promise<void>): Promise<number> {
+  const usageBefore = process.cpuUsage()
   await run()
-  const used = process.cpuUsage(from)
+  const used = process.cpuUsage(usageBefore)
   return (used.user + used.system) / 1e6
 }
 
@@ -78,10 +78,12 @@
   system.network.measuresBytes = true
   await system.start()
   const before = { ...system.table.counts, ...system.network.counts }
-  const processor = await processorOf(() => system.clock.advance(VIRTUAL_SECONDS * 1_000))
+  const processor = await processorSecondsDuring(() =>
+    system.clock.advance(SIMULATED_SECONDS * 1_000),
+  )
   const after = { ...system.table.counts, ...system.network.counts }
-  const perBox = (value: number) => value / boxCount / VIRTUAL_SECONDS
-  const add = adder(rows, 'boxes', String(boxCount))
+  const perBox = (value: number) => value / boxCount / SIMULATED_SECONDS
+  const add = createRowAdder(rows, 'boxes', String(boxCount))
   add('controlBytesPerSecond', 'bytes sent by a box a second', perBox(after.bytes - before.bytes))
   add(
     'controlMessagesPerSecond',
@@ -92,12 +94,12 @@
   add(
     'storeReadsPerSecond',
     'reads of all boxes a second',
-    (after.reads - before.reads) / VIRTUAL_SECONDS,
+    (after.reads - before.reads) / SIMULATED_SECONDS,
   )
   add(
     'storeWritesPerSecond',
     'writes of all boxes a second',
-    (after.writes - before.writes) / VIRTUAL_SECONDS,
+    (after.writes - before.writes) / SIMULATED_SECONDS,
   )
 }
 
@@ -114,12 +116,14 @@
     rows: DEMO_ROWS,
   })
   await system.start()
-  const processor = await processorOf(() => system.clock.advance(VIRTUAL_SECONDS * 1_000))
-  const add = adder(rows, 'upstreams', String(count))
-  add('watchCoreShare', 'share of a core', processor / VIRTUAL_SECONDS)
+  const processor = await processorSecondsDuring(() =>
+    system.clock.advance(SIMULATED_SECONDS * 1_000),
+  )
+  const add = createRowAdder(rows, 'upstreams', String(count))
+  add('watchCoreShare', 'share of a core', processor / SIMULATED_SECONDS)
 }
 
-function rowsOf(count: number): TableRow[] {
+function createVersionRows(count: number): TableRow[] {
   return Array.from({ length: count }, (_, index) => ({
     row: 'version',
     organisation: `organisation-${index % 200}`,
@@ -131,8 +135,8 @@
 }
 
 function measureTable(count: number, rows: RowCollector): void {
-  const tableRows = rowsOf(count)
-  const add = adder(rows, 'table rows', String(count))
+  const tableRows = createVersionRows(count)
+  const add = createRowAdder(rows, 'table rows', String(count))
   const heapBefore = process.memoryUsage().heapUsed
   const startedAt = clock.now()
   const rights = resolveRights(createTable(1, tableRows))
@@ -148,17 +152,21 @@
     author: 'operator',
     baseRevision: 1,
     removals: [],
-    upserts: rowsOf(2),
+    upserts: createVersionRows(2),
   }
   const changes = Array.from({ length: count }, (_, index) => ({
     ...change,
     revision: index + 2,
     acceptedAt: 1,
   }))
-  adder(rows, 'revisions', String(count))('changeBytes', 'bytes', JSON.stringify(changes).length)
+  createRowAdder(rows, 'revisions', String(count))(
+    'changeBytes',
+    'bytes',
+    JSON.stringify(changes).length,
+  )
 }
 
-/** Sizes of what goes between boxes for each request and each rating. */
+/** Sizes of bills (in messages, as stored rows, in memory) and of evidence in messages. */
 function measureMessages(rows: RowCollector): void {
   const packer = new Packr({ structuredClone: false })
   const usage = { promptTokens: 1_200, completionTokens: 300 }
@@ -173,14 +181,14 @@
     lines: [line],
   })
   for (const count of [1, 10, 100]) {
-    const add = adder(rows, 'bills', String(count))
+    const add = createRowAdder(rows, 'bills', String(count))
     const bills = Array.from({ length: count }, (_, index) => bill(index))
     add('holdBytes', 'bytes packed', packer.pack([{ type: 'hold', bills }]).length)
     add('billRowBytes', 'bytes of json', JSON.stringify(bills).length)
     add(
       'billHeapBytes',
       'bytes held',
-      heapOf(() => Array.from({ length: count * 100 }, (_, index) => bill(index))) / 100,
+      heapBytesOf(() => Array.from({ length: count * 100 }, (_, index) => bill(index))) / 100,
     )
   }
   for (const versions of [2, 8, 21]) {
@@ -195,7 +203,7 @@
       }
     }
     const evidence = ownEvidenceSince(store, 0)
-    adder(rows, 'versions', String(versions))(
+    createRowAdder(rows, 'versions', String(versions))(
       'evidenceBytes',
       'bytes packed',
       packer.pack(evidence).length,
@@ -203,14 +211,14 @@
   }
 }
 
-function heapOf(create: () => unknown): number {
+function heapBytesOf(create: () => unknown): number {
   const before = process.memoryUsage().heapUsed
-  const kept = create()
+  const retained = create()
   const bytes = process.memoryUsage().heapUsed - before
-  return kept === undefined ? 0 : Math.max(0, bytes)
+  return retained === undefined ? 0 : Math.max(0, bytes)
 }
 
-/** A box process of its own under open streams: what a stream holds and what a token costs. */
+/** Memory and CPU use of a box in its own process, by number of concurrent streams. */
 async function measureStreams(counts: readonly number[], rows: RowCollector): Promise<void> {
   const tokenServer = new Worker()
   const upstream = await tokenServer.ask<string>({ role: 'token-server' })
@@ -222,7 +230,7 @@
     DEMO_ROWS.filter(row => row.row !== 'limit'),
   )
   await sleep(clock, 3_000)
-  adder(rows, 'open streams', '0')('residentBytes', 'bytes', residentBytes(boxes[0]!.pid))
+  createRowAdder(rows, 'open streams', '0')('residentBytes', 'bytes', residentBytes(boxes[0]!.pid))
   for (const count of counts) await measureStreamCount(boxes[0]!, loaders, count, rows)
   boxes.forEach(box => box.kill())
   ;[tokenServer, ...loaders].forEach(worker => worker.stop())
@@ -240,19 +248,19 @@
     address: box.entryAddress,
     requests: count / loaders.length,
     concurrency: count / loaders.length,
-    tokens: STREAM_TOKENS,
-    tokenInterval: TOKEN_INTERVAL,
+    tokens: TOKENS_PER_STREAM,
+    tokenInterval: TOKEN_INTERVAL_MILLISECONDS,
   }
   const running = Promise.all(
     loaders.map(loader => loader.ask<LoadFigures>({ role: 'loader', load })),
   )
-  await sleep(clock, (STREAM_TOKENS * TOKEN_INTERVAL) / 2)
+  await sleep(clock, (TOKENS_PER_STREAM * TOKEN_INTERVAL_MILLISECONDS) / 2)
   const resident = residentBytes(box.pid)
   const figures = await running
   const took = Math.max(...figures.map(each => each.took)) / 1_000
   const tokens = figures.reduce((sum, each) => sum + each.tokens, 0)
   const processor = processorSeconds(box.pid) - processorBefore
-  const add = adder(rows, 'open streams', String(count))
+  const add = createRowAdder(rows, 'open streams', String(count))
   add('residentBytes', 'bytes', resident)
   add('serveCoreShare', 'share of a core', processor / took)
   add('microsecondsPerToken', 'µs of processor', (processor / tokens) * 1e6)
--- a/packages/proof/src/measures/workload.ts
+++ b/packages/proof/src/measures/workload.ts
@@ -1,33 +1,34 @@
 import { readFileSync } from 'node:fs'
 import { pickWeighted, type Concern, type Random } from '@yewkeel/decisions'
 
-/** One kind of request. Token counts are means. */
+/** A kind of request. Token counts are means, for one request. */
 export interface WorkloadKind {
   name: string
   share: number
   promptTokens: number
   completionTokens: number
-  /** Tokens at the start of every prompt of the kind: the instructions. */
+  /** Length of the prompt prefix that all requests of the kind in an organisation share. */
   sharedPromptTokens: number
-  /** Requests of one session, each with the earlier ones in its prompt. */
+  /** Requests in a session; each prompt contains those of the earlier requests. */
   turns: number
-  /** Share of good answers by model. */
+  /** Probability of a good answer, by model. */
   good: Record<string, number>
 }
 
+/** A model and its prices per token. */
 export interface WorkloadModel {
   name: string
   promptPrice: number
   completionPrice: number
 }
 
-/** A workload: plain data, to be replaced by whoever has other data. */
+/** Traffic mix and deployment size, read from a JSON file. */
 export interface Workload {
   name: string
   qualityTarget: number
   weighs: Concern
   organisations: { name: string; share: number }[]
-  /** The cheapest first. */
+  /** In order of rising price. */
   models: WorkloadModel[]
   kinds: WorkloadKind[]
   engines: number
@@ -39,7 +40,7 @@
 
 const WORKLOAD_FILES = ['campsite', 'havbrygge']
 
-/** The workloads of `packages/proof/workloads`. */
+/** Reads the workloads in `packages/proof/workloads`. */
 export function readWorkloads(): Workload[] {
   return WORKLOAD_FILES.map(name => {
     const url = new URL(`../../../workloads/${name}.json`, import.meta.url)
@@ -55,14 +56,14 @@
   return pickWeighted(workload.organisations, organisation => organisation.share, random)!.name
 }
 
-/** A count around a mean: most near it, some several times as large. */
-export function drawCount(mean: number, random: Random): number {
+/** Log-normally distributed integer around the given mean, at least 1. */
+export function drawTokenCount(mean: number, random: Random): number {
   const normal = Math.sqrt(-2 * Math.log(1 - random())) * Math.cos(2 * Math.PI * random())
   const spread = 0.5
   return Math.max(1, Math.round(mean * Math.exp(spread * normal - (spread * spread) / 2)))
 }
 
-/** Time until the next of events that come by chance at a rate a second. */
-export function drawGap(perSecond: number, random: Random): number {
+/** Milliseconds until the next event of a Poisson process. */
+export function drawInterarrivalTime(perSecond: number, random: Random): number {
   return (-Math.log(1 - random()) * 1_000) / perSecond
 }
