--- a/packages/proof/src/node/worker.ts
+++ b/packages/proof/src/node/worker.ts
@@ -1,26 +1,26 @@
 import { startBareForwarder } from '../world/bareForwarder.js'
-import { runLoader, type LoadOrder } from '../world/loader.js'
+import { runLoader, type LoadOptions } from '../world/loader.js'
 import { startTokenServer } from '../world/tokenServer.js'
 
-/** What a helper process of a measurement is asked to be. */
-export type WorkerOrder =
+/** Task of a child process of a measure. */
+export type WorkerTask =
   | { role: 'forwarder'; upstream: string }
   | { role: 'token-server' }
-  | { role: 'loader'; load: LoadOrder }
+  | { role: 'loader'; load: LoadOptions }
   | { role: 'usage' }
 
 type RoleHandlers = {
-  [Role in WorkerOrder['role']]: (order: Extract<WorkerOrder, { role: Role }>) => Promise<unknown>
+  [Role in WorkerTask['role']]: (task: Extract<WorkerTask, { role: Role }>) => Promise<unknown>
 }
 
-const ROLES: RoleHandlers = {
-  forwarder: order => startBareForwarder(order.upstream),
+const ROLE_HANDLERS: RoleHandlers = {
+  forwarder: task => startBareForwarder(task.upstream),
   'token-server': () => startTokenServer(),
-  loader: order => runLoader(order.load),
+  loader: task => runLoader(task.load),
   usage: () => Promise.resolve(process.memoryUsage()),
 }
 
-process.on('message', (order: WorkerOrder) => {
-  const run = ROLES[order.role] as (order: WorkerOrder) => Promise<unknown>
-  void run(order).then(answer => process.send!(answer))
+process.on('message', (task: WorkerTask) => {
+  const run = ROLE_HANDLERS[task.role] as (task: WorkerTask) => Promise<unknown>
+  void run(task).then(answer => process.send!(answer))
 })
--- a/packages/proof/src/world/bareForwarder.ts
+++ b/packages/proof/src/world/bareForwarder.ts
@@ -2,7 +2,7 @@
 import type { AddressInfo } from 'node:net'
 import { Pool } from 'undici'
 
-/** The baseline: passes each request on and its answer back, with the same libraries and nothing else. */
+/** Starts a plain reverse proxy on the same HTTP libraries: the baseline of the overhead measure. */
 export async function startBareForwarder(upstream: string): Promise<string> {
   const pool = new Pool(`http://${upstream}`, { pipelining: 1, headersTimeout: 0, bodyTimeout: 0 })
   const server = createServer(async (message, response) => {
--- a/packages/proof/src/world/callerPool.ts
+++ b/packages/proof/src/world/callerPool.ts
@@ -3,65 +3,68 @@
 import { answerWords } from '@yewkeel/stand-ins'
 import { keyOf, ORGANISATIONS, type CallerAnswer, type VirtualSystem } from './virtualSystem.js'
 
-type AskKind = 'completion' | 'hold'
+type RequestKind = 'completion' | 'hold'
 
-/** What one request of a caller came to, over all its attempts. */
+/** Result of one request of a caller over all its attempts. */
 export interface CallerResult {
-  kind: AskKind
+  kind: RequestKind
   organisation: string
   startedAt: Milliseconds
   answered: boolean
-  /** The answer was whole and the one to this request's own prompt. */
-  right: boolean
+  /** False if a complete answer differs from the expected one for the prompt. */
+  isCorrect: boolean
   attempts: number
+  /** Time to the first byte of the answer, retries included; 0 if unanswered. */
   firstToken: Milliseconds
+  /** Time to the end of the answer, retries included; 0 if unanswered. */
   took: Milliseconds
-  /** Every verdict that was told, with when. */
+  /** `yewkeel-verdict` headers of failed attempts, with the time of receipt. */
   verdicts: { verdict: string; at: Milliseconds }[]
-  /** Names of the bills that attempts may have, the answered one's last. */
+  /** Bill ids of the attempts; the id of an answered attempt is last. */
   billIds: string[]
+  /** Idempotency key of all attempts. */
   key?: string
 }
 
-const COMPLETIONS = '/v1/chat/completions'
-const HOLDS = '/v1/services/booking/holds'
-const PATIENCE: Milliseconds = 5_000
-const GIVE_UP_AFTER: Milliseconds = 12_000
-const PAUSE: Milliseconds = 150
+const COMPLETIONS_PATH = '/v1/chat/completions'
+const HOLDS_PATH = '/v1/services/booking/holds'
+const ATTEMPT_TIMEOUT: Milliseconds = 5_000
+const REQUEST_TIMEOUT: Milliseconds = 12_000
+const MEAN_RETRY_DELAY: Milliseconds = 150
 const ANSWER_TOKENS = 16
 
-/** Callers as the interface expects them: they ask where to connect, keep the answer, and go on elsewhere. */
+/** Callers that look up box addresses, cache them, and retry failed requests on the next box. */
 export class CallerPool {
   readonly results: CallerResult[] = []
-  readonly #addresses = new Map<string, { boxes: number[]; until: Milliseconds }>()
-  #asked = 0
+  readonly #addressCache = new Map<string, { boxes: number[]; until: Milliseconds }>()
+  #requestCount = 0
 
   constructor(private readonly system: VirtualSystem) {}
 
-  /** Sends requests at a steady rate, with chance in their gaps, for `span`. */
-  run(span: Milliseconds, perSecond: number, holdShare = 0.2): void {
+  /** Sends requests as a Poisson process for the given duration. */
+  run(duration: Milliseconds, requestsPerSecond: number, holdFraction = 0.2): void {
     const { clock, random } = this.system
-    const end = clock.now() + span
-    const next = () => {
+    const end = clock.now() + duration
+    const sendNext = () => {
       if (clock.now() >= end) return
-      void this.#ask(random() < holdShare ? 'hold' : 'completion')
-      clock.after((-Math.log(1 - random()) * 1_000) / perSecond, next)
+      void this.#sendWithRetries(random() < holdFraction ? 'hold' : 'completion')
+      clock.after((-Math.log(1 - random()) * 1_000) / requestsPerSecond, sendNext)
     }
-    next()
+    sendNext()
   }
 
-  async #ask(kind: AskKind): Promise<void> {
+  async #sendWithRetries(kind: RequestKind): Promise<void> {
     const { clock, random } = this.system
-    const number = ++this.#asked
+    const number = ++this.#requestCount
     const organisation = ORGANISATIONS[Math.floor(random() * ORGANISATIONS.length)]!
-    // Half of the completions carry a key of their own; calls always do.
+    // Every second completion has an idempotency key, and so has every service call.
     const isKeyed = kind === 'hold' || number % 2 === 0
     const result: CallerResult = {
       kind,
       organisation,
       startedAt: clock.now(),
       answered: false,
-      right: true,
+      isCorrect: true,
       attempts: 0,
       firstToken: 0,
       took: 0,
@@ -70,35 +73,35 @@
       ...(isKeyed && { key: `ask-${number}` }),
     }
     this.results.push(result)
-    while (clock.now() - result.startedAt < GIVE_UP_AFTER) {
-      if (await this.#attempt(result, number)) return
-      await sleep(clock, PAUSE * (0.5 + random()))
+    while (clock.now() - result.startedAt < REQUEST_TIMEOUT) {
+      if (await this.#sendAttempt(result, number)) return
+      await sleep(clock, MEAN_RETRY_DELAY * (0.5 + random()))
     }
   }
 
-  /** One attempt. True when there is nothing more to ask. */
-  async #attempt(result: CallerResult, number: number): Promise<boolean> {
+  /** Sends one attempt. Resolves to true if the request is answered. */
+  async #sendAttempt(result: CallerResult, number: number): Promise<boolean> {
     const { clock } = this.system
     result.attempts++
-    const boxes = await this.#whereTo(`${result.organisation}-${number % 20}`)
+    const boxes = await this.#resolveBoxes(`${result.organisation}-${number % 20}`)
     const box = boxes[(result.attempts - 1) % Math.max(1, boxes.length)]
     if (box === undefined) return false
     const prompt = `question ${number}`
     const answer = await this.system.ask(box, {
-      path: result.kind === 'hold' ? HOLDS : COMPLETIONS,
-      patience: PATIENCE,
+      path: result.kind === 'hold' ? HOLDS_PATH : COMPLETIONS_PATH,
+      patience: ATTEMPT_TIMEOUT,
       headers: this.#headersOf(result),
       body: result.kind === 'hold' ? `{"pitch":${number}}` : completionBody(prompt),
     })
-    this.#noteBill(result, answer)
+    this.#recordBillId(result, answer)
     if (answer.broken) return false
-    if (answer.status < 300 && isWhole(result.kind, answer)) {
+    if (answer.status < 300 && isComplete(result.kind, answer)) {
       result.answered = true
-      result.right =
+      result.isCorrect =
         result.kind === 'hold' ||
         contentOf(answer.body) === answerWords(prompt, ANSWER_TOKENS).join('')
       result.took = clock.now() - result.startedAt
-      result.firstToken = result.took - answer.took + answer.firstByteAfter
+      result.firstToken = result.took - answer.duration + answer.timeToFirstByte
       return true
     }
     const verdict = answer.headers['yewkeel-verdict']
@@ -114,18 +117,18 @@
     }
   }
 
-  #noteBill(result: CallerResult, answer: CallerAnswer): void {
-    const path = result.kind === 'hold' ? HOLDS : COMPLETIONS
+  #recordBillId(result: CallerResult, answer: CallerAnswer): void {
+    const path = result.kind === 'hold' ? HOLDS_PATH : COMPLETIONS_PATH
     const id = result.key
       ? resolveBillId(result.organisation, path, result.key)
       : answer.headers['x-request-id']
     if (id) result.billIds.push(id)
   }
 
-  async #whereTo(caller: string): Promise<number[]> {
+  async #resolveBoxes(caller: string): Promise<number[]> {
     const { clock, random, boxes } = this.system
-    const kept = this.#addresses.get(caller)
-    if (kept && clock.now() < kept.until) return kept.boxes
+    const cached = this.#addressCache.get(caller)
+    if (cached && clock.now() < cached.until) return cached.boxes
     const first = Math.floor(random() * boxes.length)
     const answer = await this.system.ask(first, {
       method: 'GET',
@@ -133,16 +136,19 @@
       patience: 500,
       headers: { 'yewkeel-caller': caller },
     })
-    if (answer.broken || answer.status !== 200) return kept?.boxes ?? [first]
-    const told = JSON.parse(answer.body) as {
+    if (answer.broken || answer.status !== 200) return cached?.boxes ?? [first]
+    const directory = JSON.parse(answer.body) as {
       addresses: { address: string }[]
       lifetimeSeconds: number
     }
-    const found = told.addresses.map(({ address }) =>
+    const resolved = directory.addresses.map(({ address }) =>
       boxes.findIndex(box => `${box.name}:entry` === address),
     )
-    this.#addresses.set(caller, { boxes: found, until: clock.now() + told.lifetimeSeconds * 1_000 })
-    return found
+    this.#addressCache.set(caller, {
+      boxes: resolved,
+      until: clock.now() + directory.lifetimeSeconds * 1_000,
+    })
+    return resolved
   }
 }
 
@@ -155,7 +161,7 @@
   })
 }
 
-function isWhole(kind: AskKind, answer: CallerAnswer): boolean {
+function isComplete(kind: RequestKind, answer: CallerAnswer): boolean {
   return kind === 'hold' || answer.body.trimEnd().endsWith('data: [DONE]')
 }
 
@@ -163,20 +169,28 @@
   return [...body.matchAll(/"content":"([^"]*)"/g)].map(found => found[1]).join('')
 }
 
-/** What broke of the promises in a run that has come to rest. All counts are to be 0. */
-export interface BrokenPromises {
+/** Violations of the delivery and billing guarantees. All counts must be 0. */
+export interface GuaranteeViolations {
+  /** Answered requests without a bill. */
   billsLost: number
+  /** Requests with one idempotency key and several bills. */
   billsDoubled: number
+  /** Service calls that ran more than once. */
   callsRunTwice: number
+  /** Unanswered service calls that ran although their last verdict was `not-run`. */
   untrueNotRun: number
+  /** Complete answers with the wrong content. */
   wrongAnswers: number
 }
 
-/** Checks results against the store and the services. */
+/**
+ * Checks results against the bills in the store and the calls that the services ran. The run must
+ * have ended, with all bills flushed.
+ */
 export function checkPromises(
   system: VirtualSystem,
   results: readonly CallerResult[],
-): BrokenPromises {
+): GuaranteeViolations {
   const bills = new Map(
     system.table
       .listRows(BILL_PREFIX)
@@ -186,7 +200,7 @@
       ]),
   )
   const runs = new Map([...system.services.values()].flatMap(service => [...service.runs]))
-  const broken: BrokenPromises = {
+  const violations: GuaranteeViolations = {
     billsLost: 0,
     billsDoubled: 0,
     callsRunTwice: 0,
@@ -194,16 +208,16 @@
     wrongAnswers: 0,
   }
   for (const result of results) {
-    // Each attempt without a key is a request of its own, so only a keyed one can be billed twice.
-    const standing = [...new Set(result.billIds)].filter(id => bills.has(id))
-    if (result.key !== undefined && standing.length > 1) broken.billsDoubled++
-    if (result.answered && !bills.has(result.billIds.at(-1) ?? '')) broken.billsLost++
-    if (!result.right) broken.wrongAnswers++
+    // Attempts without a key are separate requests, each with its own bill.
+    const billedIds = [...new Set(result.billIds)].filter(id => bills.has(id))
+    if (result.key !== undefined && billedIds.length > 1) violations.billsDoubled++
+    if (result.answered && !bills.has(result.billIds.at(-1) ?? '')) violations.billsLost++
+    if (!result.isCorrect) violations.wrongAnswers++
     if (result.kind !== 'hold') continue
     const count = runs.get(result.key ?? '') ?? 0
-    if (count > 1) broken.callsRunTwice++
+    if (count > 1) violations.callsRunTwice++
     const lastVerdict = result.verdicts.at(-1)?.verdict
-    if (!result.answered && lastVerdict === 'not-run' && count > 0) broken.untrueNotRun++
+    if (!result.answered && lastVerdict === 'not-run' && count > 0) violations.untrueNotRun++
   }
-  return broken
+  return violations
 }
--- a/packages/proof/src/world/demoTable.ts
+++ b/packages/proof/src/world/demoTable.ts
@@ -1,6 +1,6 @@
 import type { TableRow } from '@yewkeel/decisions'
 
-/** A table such as the Campsite Association might keep. */
+/** Example table of the demo, the measures and the tests. */
 export const DEMO_ROWS: TableRow[] = [
   { row: 'version', organisation: '*', model: 'small', version: '1', weight: 100, state: 'active' },
   { row: 'version', organisation: '*', model: 'large', version: '1', weight: 100, state: 'active' },
--- a/packages/proof/src/world/loader.ts
+++ b/packages/proof/src/world/loader.ts
@@ -4,43 +4,48 @@
 
 const clock = createSystemClock()
 
-/** A bounded load on one address. */
-export interface LoadOrder {
+/** Options of a closed-loop load on one address. */
+export interface LoadOptions {
   address: string
+  /** Total number of requests. */
   requests: number
   concurrency: number
-  /** Tokens of each answer when it is streamed; 0 for short plain answers. */
+  /** Tokens of each streamed answer; 0 asks for short answers that are not streamed. */
   tokens: number
   tokenInterval: Milliseconds
 }
 
+/** Result of a load. */
 export interface LoadFigures {
   took: Milliseconds
+  /** Received server-sent events, or chunks of answers that are not streamed. */
   tokens: number
+  /** Answers with a status other than 200. */
   failed: number
   firstByteMedian: Milliseconds
 }
 
-/** Sends so many requests, so many at a time, and ends. */
-export async function runLoader(order: LoadOrder): Promise<LoadFigures> {
-  const dispatcher = new Agent({ connections: order.concurrency, pipelining: 1 })
+/** Sends the requests, `concurrency` at a time, and resolves when all are answered. */
+export async function runLoader(options: LoadOptions): Promise<LoadFigures> {
+  const dispatcher = new Agent({ connections: options.concurrency, pipelining: 1 })
   const firstBytes: Milliseconds[] = []
   const figures: LoadFigures = { took: 0, tokens: 0, failed: 0, firstByteMedian: 0 }
   const startedAt = clock.now()
-  let left = order.requests
-  const work = async () => {
-    while (left-- > 0) {
-      const askedAt = clock.now()
-      const answer = await request(`http://${order.address}/v1/chat/completions`, {
+  let remaining = options.requests
+  const sendRequests = async () => {
+    while (remaining-- > 0) {
+      const sentAt = clock.now()
+      const answer = await request(`http://${options.address}/v1/chat/completions`, {
         method: 'POST',
         headers: { authorization: `Bearer ${CALLER_KEY}`, 'content-type': 'application/json' },
-        body: bodyOf(order),
+        body: requestBody(options),
         dispatcher,
       })
       let isFirst = true
       for await (const chunk of answer.body as AsyncIterable<Buffer>) {
-        if (isFirst) firstBytes.push(clock.now() - askedAt)
+        if (isFirst) firstBytes.push(clock.now() - sentAt)
         isFirst = false
+        // A chunk starts with an event; each further event in it follows a line break.
         for (let at = chunk.indexOf('\nid: '); at !== -1; at = chunk.indexOf('\nid: ', at + 1))
           figures.tokens++
         figures.tokens++
@@ -48,7 +53,7 @@
       if (answer.statusCode !== 200) figures.failed++
     }
   }
-  await Promise.all(Array.from({ length: order.concurrency }, work))
+  await Promise.all(Array.from({ length: options.concurrency }, sendRequests))
   figures.took = clock.now() - startedAt
   firstBytes.sort((left, right) => left - right)
   figures.firstByteMedian = firstBytes[Math.floor(firstBytes.length / 2)] ?? 0
@@ -56,7 +61,7 @@
   return figures
 }
 
-function bodyOf({ tokens, tokenInterval }: LoadOrder): string {
+function requestBody({ tokens, tokenInterval }: LoadOptions): string {
   return JSON.stringify({
     model: 'small',
     stream: tokens > 0,
--- a/packages/proof/src/world/memoryNetwork.ts
+++ b/packages/proof/src/world/memoryNetwork.ts
@@ -15,8 +15,8 @@
 import { Packr } from 'msgpackr'
 import type { PausableClock } from './pausableClock.js'
 
-const NEAR: Milliseconds = 0.2
-const REDIAL_AFTER: Milliseconds = 500
+const LOCAL_LATENCY: Milliseconds = 0.2
+const REDIAL_INTERVAL: Milliseconds = 500
 
 interface Member {
   identity: PeerIdentity
@@ -25,39 +25,40 @@
   dead: boolean
 }
 
-/** Links between boxes in one process: in order, with latency, and cut where a test says so. */
+/** In-memory network between boxes: ordered delivery, latency, and partitions by `isLinked`. */
 export class MemoryNetwork {
   readonly #members = new Map<string, Member>()
-  /** Messages that boxes sent to each other, and their packed bytes where those are measured. */
+  /** Messages between boxes, and their packed bytes if `measuresBytes` is set. */
   readonly counts = { messages: 0, bytes: 0 }
   measuresBytes = false
   readonly #packer = new Packr({ structuredClone: false })
-  /** Whether two boxes can reach each other. */
+  /** Whether two boxes, by name, can reach each other. Replace it to partition the network. */
   isLinked: (left: string, right: string) => boolean = () => true
 
   constructor(
     private readonly clock: Clock,
-    private readonly acrossDataCentres: Milliseconds,
+    private readonly crossDataCentreLatency: Milliseconds,
   ) {}
 
+  /** Adds a box and returns its transport. */
   join(identity: PeerIdentity, clock: PausableClock): PeerTransport {
     const member: Member = { identity, clock, dead: false }
     this.#members.set(identity.peerAddress, member)
     const connected = new Map<string, Member>()
-    let wanted: readonly PeerAddress[] = []
+    let targets: readonly PeerAddress[] = []
     const dial = () => {
-      for (const { address } of wanted) this.#connect(member, address, connected)
+      for (const { address } of targets) this.#connect(member, address, connected)
     }
     const redial = () => {
       if (member.dead) return
       dial()
-      this.clock.after(REDIAL_AFTER, redial)
+      this.clock.after(REDIAL_INTERVAL, redial)
     }
-    this.clock.after(REDIAL_AFTER, redial)
+    this.clock.after(REDIAL_INTERVAL, redial)
     return {
       listen: listener => void (member.listener = listener),
       link(peers) {
-        wanted = peers
+        targets = peers
         dial()
       },
       send: (to, message) => this.#send(member, to, message, connected),
@@ -65,7 +66,7 @@
     }
   }
 
-  /** The process is gone: its links break. */
+  /** Removes a box whose process has exited; its links break. */
   leave(peerAddress: string): void {
     const member = this.#members.get(peerAddress)
     if (member) member.dead = true
@@ -85,7 +86,7 @@
     if (connected.get(voter) === other) return
     connected.set(voter, other)
     this.clock.after(this.#latency(member, other) * 2, () =>
-      member.clock.run(() => member.listener?.onConnected(other.identity)),
+      member.clock.runOrDefer(() => member.listener?.onConnected(other.identity)),
     )
   }
 
@@ -100,52 +101,55 @@
     if (this.measuresBytes) this.counts.bytes += this.#packer.pack([message]).length
     const copy = structuredClone(message)
     this.clock.after(this.#latency(member, other), () => {
-      if (!other.dead) other.clock.run(() => other.listener?.onMessage(member.identity, copy))
+      if (!other.dead)
+        other.clock.runOrDefer(() => other.listener?.onMessage(member.identity, copy))
     })
     return true
   }
 
   #latency(left: Member, right: Member): Milliseconds {
-    return left.identity.dataCentre === right.identity.dataCentre ? NEAR : this.acrossDataCentres
+    return left.identity.dataCentre === right.identity.dataCentre
+      ? LOCAL_LATENCY
+      : this.crossDataCentreLatency
   }
 }
 
-/** Reaches stand-ins in the same process, as over a network. */
+/** Creates the upstream client of a box, which calls in-process handlers with network latency. */
 export function createMemoryClient(
-  world: { clock: Clock; handlers: ReadonlyMap<string, StandInHandler>; latency: Milliseconds },
-  box: PausableClock,
+  network: { clock: Clock; handlers: ReadonlyMap<string, StandInHandler>; latency: Milliseconds },
+  boxClock: PausableClock,
 ): UpstreamClient {
   return {
     async send(address, request, { signal, answerWithin } = {}) {
-      // A paused box sends nothing, and a dead one never again.
-      await box.gate()
-      const handler = world.handlers.get(address)
+      // Waits while the box is paused; a killed box stays paused.
+      await boxClock.whenResumed()
+      const handler = network.handlers.get(address)
       if (!handler) throw new UpstreamFailure('no', 'nothing listens there')
-      const answering = reach(world, handler, request, signal)
-      const waits: Promise<UpstreamAnswer>[] = [answering]
-      if (signal) waits.push(aborted(signal))
-      if (answerWithin !== undefined) waits.push(expired(world.clock, answerWithin))
+      const pendingAnswer = callHandler(network, handler, request, signal)
+      const waits: Promise<UpstreamAnswer>[] = [pendingAnswer]
+      if (signal) waits.push(rejectOnAbort(signal))
+      if (answerWithin !== undefined) waits.push(rejectAfter(network.clock, answerWithin))
       const answer = await Promise.race(waits)
-      await box.gate()
-      return { ...answer, body: delivered(answer.body, box) }
+      await boxClock.whenResumed()
+      return { ...answer, body: readBody(answer.body, boxClock) }
     },
   }
 }
 
-async function reach(
-  world: { clock: Clock; latency: Milliseconds },
+async function callHandler(
+  network: { clock: Clock; latency: Milliseconds },
   handler: StandInHandler,
   request: UpstreamRequest,
   signal: AbortSignal | undefined,
 ): Promise<UpstreamAnswer> {
-  await sleep(world.clock, world.latency)
+  await sleep(network.clock, network.latency)
   try {
     const answer = await handler({
       body: '',
       signal: signal ?? new AbortController().signal,
       ...request,
     })
-    await sleep(world.clock, world.latency)
+    await sleep(network.clock, network.latency)
     return answer as UpstreamAnswer
   } catch (error) {
     const sent = error instanceof DroppedConnection && !error.sent ? 'no' : 'maybe'
@@ -153,17 +157,17 @@
   }
 }
 
-async function* delivered(
+async function* readBody(
   body: AsyncIterable<Uint8Array | string>,
-  box: PausableClock,
+  boxClock: PausableClock,
 ): AsyncIterable<Uint8Array> {
   for await (const chunk of body) {
-    await box.gate()
+    await boxClock.whenResumed()
     yield typeof chunk === 'string' ? Buffer.from(chunk) : chunk
   }
 }
 
-function aborted(signal: AbortSignal): Promise<never> {
+function rejectOnAbort(signal: AbortSignal): Promise<never> {
   return new Promise((_resolve, reject) => {
     const fail = () => reject(new UpstreamFailure('maybe', 'aborted'))
     if (signal.aborted) fail()
@@ -171,8 +175,8 @@
   })
 }
 
-function expired(clock: Clock, after: Milliseconds): Promise<never> {
+function rejectAfter(clock: Clock, delay: Milliseconds): Promise<never> {
   return new Promise((_resolve, reject) => {
-    clock.after(after, () => reject(new UpstreamFailure('maybe', 'no answer in time', true)))
+    clock.after(delay, () => reject(new UpstreamFailure('maybe', 'no answer in time', true)))
   })
 }
--- a/packages/proof/src/world/pausableClock.ts
+++ b/packages/proof/src/world/pausableClock.ts
@@ -1,27 +1,27 @@
 import type { Clock, Milliseconds, Timer } from '@yewkeel/decisions'
 
 /**
- * A box's own view of the clock. While it is paused its timers do not fire and nothing reaches it, but time
- * goes on, as for a stopped process; when it wakes everything that was due happens at once.
+ * Clock of one box. While it is paused, time advances but callbacks are deferred, as for a stopped
+ * process; `resume` runs the deferred callbacks at once, in order.
  */
 export class PausableClock implements Clock {
   #isPaused = false
-  #due: (() => void)[] = []
+  #deferred: (() => void)[] = []
 
-  constructor(private readonly world: Clock) {}
+  constructor(private readonly source: Clock) {}
 
   now(): Milliseconds {
-    return this.world.now()
+    return this.source.now()
   }
 
   wallTime(): Milliseconds {
-    return this.world.wallTime()
+    return this.source.wallTime()
   }
 
   after(delay: Milliseconds, callback: () => void): Timer {
     let isCancelled = false
-    const timer = this.world.after(delay, () => {
-      this.run(() => {
+    const timer = this.source.after(delay, () => {
+      this.runOrDefer(() => {
         if (!isCancelled) callback()
       })
     })
@@ -33,15 +33,15 @@
     }
   }
 
-  /** Runs at once, or when the box wakes. */
-  run(callback: () => void): void {
-    if (this.#isPaused) this.#due.push(callback)
+  /** Runs the callback at once, or on `resume` if the clock is paused. */
+  runOrDefer(callback: () => void): void {
+    if (this.#isPaused) this.#deferred.push(callback)
     else callback()
   }
 
-  /** Resolves at once, or when the box wakes. */
-  gate(): Promise<void> {
-    return new Promise(resolve => this.run(resolve))
+  /** Resolves at once, or on `resume` if the clock is paused. */
+  whenResumed(): Promise<void> {
+    return new Promise(resolve => this.runOrDefer(resolve))
   }
 
   pause(): void {
@@ -50,8 +50,8 @@
 
   resume(): void {
     this.#isPaused = false
-    const due = this.#due
-    this.#due = []
-    due.forEach(callback => callback())
+    const deferred = this.#deferred
+    this.#deferred = []
+    deferred.forEach(callback => callback())
   }
 }
--- a/packages/proof/src/world/processes.ts
+++ b/packages/proof/src/world/processes.ts
@@ -1,4 +1,4 @@
-/** Helper processes of measurements. The product's own programs start none. */
+/** Child processes of measures. The product itself starts none. */
 import { fork, spawn, type ChildProcess } from 'node:child_process'
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs'
 import { createServer, type AddressInfo } from 'node:net'
@@ -9,22 +9,22 @@
 import { createSystemClock, sleep } from '@yewkeel/decisions'
 import { stringify } from 'yaml'
 import { request } from 'undici'
-import type { WorkerOrder } from '../node/worker.js'
+import type { WorkerTask } from '../node/worker.js'
 
 const clock = createSystemClock()
-const WORKER = fileURLToPath(new URL('../node/worker.js', import.meta.url))
-const YEWKEEL = fileURLToPath(new URL('../../../../box/bin/yewkeel.js', import.meta.url))
-const READY_TRIES = 200
-const READY_PAUSE = 50
+const WORKER_SCRIPT = fileURLToPath(new URL('../node/worker.js', import.meta.url))
+const BOX_EXECUTABLE = fileURLToPath(new URL('../../../../box/bin/yewkeel.js', import.meta.url))
+const MAX_HEALTH_CHECKS = 200
+const HEALTH_CHECK_INTERVAL_MILLISECONDS = 50
 
-/** A helper process that answers one order at a time. */
+/** A child process that runs one task at a time. */
 export class Worker {
-  readonly #child: ChildProcess = fork(WORKER, { stdio: 'inherit' })
+  readonly #child: ChildProcess = fork(WORKER_SCRIPT, { stdio: 'inherit' })
 
-  ask<T>(order: WorkerOrder): Promise<T> {
+  ask<T>(task: WorkerTask): Promise<T> {
     return new Promise(resolve => {
       this.#child.once('message', answer => resolve(answer as T))
-      this.#child.send(order)
+      this.#child.send(task)
     })
   }
 
@@ -33,18 +33,22 @@
   }
 }
 
-/** A `yewkeel` process. */
+/** A box in a child process. */
 export interface BoxProcess {
   pid: number
   entryAddress: string
   operatorsAddress: string
   peerAddress: string
-  /** Asks for a planned stop and gives the exit code. */
+  /** Sends SIGTERM and resolves to the exit code, or to `null` if a signal ended the process. */
   stop(): Promise<number | null>
   kill(): void
 }
 
-/** Starts the real binary with settings of its own and waits until it is ready. */
+/**
+ * Starts the `yewkeel` executable with the given settings and waits until it is healthy.
+ *
+ * @throws if the box does not become healthy
+ */
 export async function startBoxProcess(
   settingsFor: (addresses: { entry: string; operators: string; peers: string }) => SettingsInput,
 ): Promise<BoxProcess> {
@@ -52,10 +56,10 @@
   const folder = mkdtempSync(join(tmpdir(), 'yewkeel-'))
   const file = join(folder, 'settings.yaml')
   writeFileSync(file, stringify(settingsFor({ entry, operators, peers })))
-  const child = spawn(process.execPath, [YEWKEEL, 'run', file], {
+  const child = spawn(process.execPath, [BOX_EXECUTABLE, 'run', file], {
     stdio: ['ignore', 'ignore', 'inherit'],
   })
-  const ended = new Promise<number | null>(resolve => child.once('exit', resolve))
+  const exited = new Promise<number | null>(resolve => child.once('exit', resolve))
   await waitUntilHealthy(entry)
   rmSync(folder, { recursive: true })
   return {
@@ -65,14 +69,14 @@
     peerAddress: peers,
     stop() {
       child.kill('SIGTERM')
-      return ended
+      return exited
     },
     kill: () => void child.kill('SIGKILL'),
   }
 }
 
 async function waitUntilHealthy(address: string): Promise<void> {
-  for (let tries = 0; tries < READY_TRIES; tries++) {
+  for (let checks = 0; checks < MAX_HEALTH_CHECKS; checks++) {
     try {
       const answer = await request(`http://${address}/health`)
       await answer.body.dump()
@@ -80,12 +84,14 @@
     } catch {
       // Not listening yet.
     }
-    await sleep(clock, READY_PAUSE)
+    await sleep(clock, HEALTH_CHECK_INTERVAL_MILLISECONDS)
   }
-  throw new Error(`the box at ${address} did not come up`)
+  throw new Error(
+    `the box at ${address} did not answer 200 to GET /health in time; see its output on stderr`,
+  )
 }
 
-/** A free address on loopback. */
+/** Finds a free loopback address, `host:port`. */
 export async function freeAddress(): Promise<string> {
   const server = createServer()
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
@@ -94,15 +100,15 @@
   return `127.0.0.1:${port}`
 }
 
-const TICKS_PER_SECOND = 100
+const TICKS_PER_SECOND = 100 // USER_HZ of Linux
 
-/** Processor seconds that a process has used. */
+/** User and system CPU seconds of a process, from `/proc` (Linux). */
 export function processorSeconds(pid: number): number {
   const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]!.split(' ')
   return (Number(fields[11]) + Number(fields[12])) / TICKS_PER_SECOND
 }
 
-/** Resident bytes of a process. */
+/** Resident set size of a process in bytes, from `/proc` (Linux). */
 export function residentBytes(pid: number): number {
   const line = /VmRSS:\s+(\d+) kB/.exec(readFileSync(`/proc/${pid}/status`, 'utf8'))
   return Number(line?.[1] ?? 0) * 1_024
--- a/packages/proof/src/world/startSystem.ts
+++ b/packages/proof/src/world/startSystem.ts
@@ -16,7 +16,7 @@
 export const OPERATOR_KEY = 'operator-key-of-the-demo'
 export const ORGANISATION = 'belle-mare'
 
-/** Boxes and stand-ins over real sockets, in one process. */
+/** Boxes and stand-ins in one process, connected over loopback sockets. */
 export interface RunningSystem {
   boxes: RunningBox[]
   standIns: RunningStandIns
@@ -30,7 +30,7 @@
   log?: Log
 }
 
-/** Starts boxes that know each other by their seeds, before stand-ins. */
+/** Starts the stand-ins and then the boxes, each with the earlier boxes as its seeds. */
 export async function startSystem(options: SystemOptions): Promise<RunningSystem> {
   const standIns = await startStandIns(options.standIns)
   const boxes: RunningBox[] = []
@@ -48,18 +48,18 @@
   }
 }
 
-/** Settings of one box on loopback, on any free ports. */
+/** Parsed settings of one box on free loopback ports. */
 export function settingsFor(
   index: number,
   standIns: Pick<RunningStandIns, 'addresses'>,
-  earlier: readonly RunningBox[],
+  seedBoxes: readonly RunningBox[],
   overrides: Partial<SettingsInput>,
 ): Settings {
-  const seeds = earlier.map(box => box.peerAddress)
+  const seeds = seedBoxes.map(box => box.peerAddress)
   return settingsSchema.parse(settingsInputFor(index, standIns.addresses, seeds, overrides))
 }
 
-/** The same, as they are written in a file. */
+/** Settings of one box on free loopback ports, in the format of a settings file. */
 export function settingsInputFor(
   index: number,
   addresses: { table: string; boxList: string; ratings: string },
@@ -82,13 +82,13 @@
   }
 }
 
-/** What an operator is told of a change. */
+/** Response to a table change. */
 export interface AppliedChange {
   outcome: string
   revision: number
 }
 
-/** Makes rows the whole table, as `yewkeelctl apply` does. */
+/** Replaces the whole table by the rows, as `yewkeelctl apply` does. */
 export async function applyRows(
   operatorsAddress: string,
   rows: readonly TableRow[],
--- a/packages/proof/src/world/tokenServer.ts
+++ b/packages/proof/src/world/tokenServer.ts
@@ -8,10 +8,11 @@
 interface CompletionBody {
   stream?: boolean
   max_tokens: number
+  /** `interval`: milliseconds between tokens. */
   metadata?: { interval?: string }
 }
 
-/** An upstream that answers at once, or streams tokens at an interval: all that a measurement of others needs. */
+/** Starts a minimal upstream for measures. It answers at once or streams tokens at an interval. */
 export async function startTokenServer(): Promise<string> {
   const server = createServer(async (message, response) => {
     if (message.url === '/load') {
@@ -29,14 +30,14 @@
     const chunks: Buffer[] = []
     for await (const chunk of message) chunks.push(chunk as Buffer)
     const body = JSON.parse(Buffer.concat(chunks).toString()) as CompletionBody
-    if (body.stream) await stream(response, body)
-    else answer(response)
+    if (body.stream) await sendStream(response, body)
+    else sendAnswer(response)
   })
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
   return `127.0.0.1:${(server.address() as AddressInfo).port}`
 }
 
-function answer(response: ServerResponse): void {
+function sendAnswer(response: ServerResponse): void {
   response.writeHead(200, { 'content-type': 'application/json' })
   const message = { role: 'assistant', content: 'high water is at noon' }
   response.end(
@@ -50,7 +51,7 @@
   )
 }
 
-async function stream(response: ServerResponse, body: CompletionBody): Promise<void> {
+async function sendStream(response: ServerResponse, body: CompletionBody): Promise<void> {
   response.writeHead(200, { 'content-type': 'text/event-stream' })
   const interval = Number(body.metadata?.interval ?? 20)
   for (let index = 1; index <= body.max_tokens; index++) {
@@ -69,11 +70,11 @@
     completion_tokens: body.max_tokens,
     total_tokens: body.max_tokens + 12,
   }
-  const last = {
+  const lastChunk = {
     id: 'chatcmpl-1',
     model: MODEL,
     choices: [{ index: 0, delta: {}, finish_reason: 'stop' }],
     usage,
   }
-  response.end(`id: ${body.max_tokens + 1}\ndata: ${JSON.stringify(last)}\n\ndata: [DONE]\n\n`)
+  response.end(`id: ${body.max_tokens + 1}\ndata: ${JSON.stringify(lastChunk)}\n\ndata: [DONE]\n\n`)
 }
--- a/packages/proof/src/world/virtualSystem.ts
+++ b/packages/proof/src/world/virtualSystem.ts
@@ -33,7 +33,7 @@
 import { createMemoryClient, MemoryNetwork } from './memoryNetwork.js'
 import { PausableClock } from './pausableClock.js'
 
-/** One upstream of a virtual system. */
+/** Options of one engine of a virtual system. */
 export type VirtualEngine = Omit<EngineOptions, 'clock' | 'random' | 'ratings' | 'weights'> & {
   dataCentre: string
 }
@@ -45,34 +45,36 @@
   engines: VirtualEngine[]
   services?: { name: string; dataCentre: string }[]
   rows: TableRow[]
-  /** One way between data centres. @default 1.5 */
-  acrossDataCentres?: Milliseconds
-  /** One round trip to the store. @default 4 */
+  /** One-way latency between data centres. @default 1.5 */
+  crossDataCentreLatency?: Milliseconds
+  /** Round-trip latency of the store. @default 4 */
   storeLatency?: Milliseconds
   ratings?: { delay?: Milliseconds; coverage?: number }
   settings?: Partial<SettingsInput>
 }
 
-/** What a caller got. `broken`: the connection ended before the answer did. */
+/** Answer that a caller received. */
 export interface CallerAnswer {
   status: number
   headers: Record<string, string>
   body: string
+  /** The connection closed before the answer was complete. */
   broken: boolean
-  firstByteAfter: Milliseconds
-  took: Milliseconds
+  timeToFirstByte: Milliseconds
+  duration: Milliseconds
 }
 
-export interface CallerAsk {
+/** Request of a caller. */
+export interface CallerRequestOptions {
   method?: string
   path: string
   headers?: Record<string, string>
   body?: string
-  /** The caller hangs up after this long. */
+  /** The caller closes the connection after this time. */
   patience?: Milliseconds
 }
 
-/** A box of a virtual system, with the switches of its faults. */
+/** A box of a virtual system, with its fault injection. */
 export interface VirtualBox {
   box: Box
   name: string
@@ -80,17 +82,18 @@
   clock: PausableClock
   storeLink: { cut: boolean }
   dead: boolean
-  pending: Set<() => void>
+  /** Callbacks that break the connections of open requests. */
+  disconnectCallbacks: Set<() => void>
 }
 
 export const ORGANISATIONS = ['belle-mare', 'le-morne', 'tamarin', 'flic-en-flac']
 
-/** Key of an organisation's callers. */
+/** API key of an organisation's callers. */
 export function keyOf(organisation: string): string {
   return `key-of-${organisation}`
 }
 
-/** Whole boxes with small stand-ins in one process, on a clock that the caller moves. */
+/** Complete boxes with in-process stand-ins for upstreams and store, on a manual clock. */
 export class VirtualSystem {
   readonly clock = new ManualClock()
   readonly random: Random
@@ -102,7 +105,7 @@
   readonly services = new Map<string, PlainService>()
   readonly boxes: VirtualBox[] = []
   readonly #handlers = new Map<string, StandInHandler>()
-  readonly #listed: ListedBox[] = []
+  readonly #upstreams: ListedBox[] = []
   #incarnations = 0
 
   constructor(readonly options: VirtualSystemOptions) {
@@ -112,42 +115,50 @@
     this.table = new MemoryTable({ clock, random, latency: options.storeLatency ?? 4 })
     this.ratings = new RatingService({ clock, random, ...options.ratings })
     this.boxList = new BoxList({ clock, random })
-    this.network = new MemoryNetwork(clock, options.acrossDataCentres ?? 1.5)
+    this.network = new MemoryNetwork(clock, options.crossDataCentreLatency ?? 1.5)
     const weights = new WeightStore({ clock })
     for (const { dataCentre, ...engine } of options.engines) {
       const created = new Engine({ clock, random, ratings: this.ratings, weights, ...engine })
       this.engines.set(engine.id, created)
-      this.#serve(engine.id, created.handler, { role: 'engine', dataCentre, slots: created.slots })
+      this.#addUpstream(engine.id, created.handler, {
+        role: 'engine',
+        dataCentre,
+        slots: created.slots,
+      })
     }
     for (const { name, dataCentre } of options.services ?? []) {
       const created = new PlainService({ clock, random })
       this.services.set(name, created)
-      this.#serve(name, created.handler, { role: 'service', dataCentre, slots: 16 })
+      this.#addUpstream(name, created.handler, { role: 'service', dataCentre, slots: 16 })
     }
   }
 
-  /** Starts all boxes, writes the table, and waits until it is in force. */
+  /** Starts all boxes, submits the table and waits until the boxes have applied it. */
   async start(): Promise<void> {
     for (let index = 0; index < this.options.boxCount; index++) this.addBox(index)
-    this.#publish()
+    this.#publishBoxList()
     this.boxList.settle()
     this.boxes.forEach(({ box }) => void box.start())
     await this.clock.advance(6_000)
     const outcome = this.submit(0, this.options.rows, 'first')
     await this.clock.advance(2_000)
-    if ((await outcome).outcome !== 'accepted') throw new Error('the first table was not accepted')
+    if ((await outcome).outcome !== 'accepted')
+      throw new Error('the initial table was not accepted; check the rows option')
     await this.clock.advance(3_000)
   }
 
-  /** Puts another handler before an upstream, or none: its process has ended. Gives the one before. */
+  /**
+   * Replaces the handler of an upstream and returns the previous one. Without a handler, connections
+   * to the upstream are refused.
+   */
   setHandler(name: string, handler: StandInHandler | undefined): StandInHandler | undefined {
-    const before = this.#handlers.get(name)
+    const previous = this.#handlers.get(name)
     if (handler) this.#handlers.set(name, handler)
     else this.#handlers.delete(name)
-    return before
+    return previous
   }
 
-  /** Builds a box, in place of an earlier one of the same index if there was one. */
+  /** Creates a box without starting it; replaces the box of the same index, if any. */
   addBox(index: number): VirtualBox {
     const name = `box-${index + 1}`
     const dataCentre = `dc-${(index % this.options.dataCentres) + 1}`
@@ -172,9 +183,9 @@
       clock,
       random: createSeededRandom(this.options.seed * 1_000 + this.#incarnations),
       platform: {
-        table: gated(this.table.connect(storeLink), clock),
-        listMachines: () => this.#list(),
-        readRatings: (cursor, router) => this.#rate(cursor, router),
+        table: deferAnswers(this.table.connect(storeLink), clock),
+        listMachines: () => this.#listMachines(),
+        readRatings: (cursor, router) => this.#readRatings(cursor, router),
       },
       client,
       transport: this.network.join(identity, clock),
@@ -189,27 +200,28 @@
       clock,
       storeLink,
       dead: false,
-      pending: new Set<() => void>(),
+      disconnectCallbacks: new Set<() => void>(),
     }
     this.boxes[index] = created
     return created
   }
 
-  /** The box ends at any byte. Its callers see their connections break. */
+  /** Kills a box at once and breaks the connections of its callers. */
   kill(index: number): void {
     const target = this.boxes[index]!
     target.dead = true
     target.clock.pause()
     target.box.kill()
     this.network.leave(target.box.identity.peerAddress)
-    for (const breakOff of [...target.pending]) breakOff()
+    for (const disconnect of [...target.disconnectCallbacks]) disconnect()
   }
 
-  /** A new process in place of a dead one. */
+  /** Starts a new incarnation of a killed or stopped box. */
   restart(index: number): void {
     void this.addBox(index).box.start()
   }
 
+  /** Proposes a table change at a box, on top of the revision that this box has applied. */
   submit(index: number, rows: TableRow[], changeId: string) {
     const { table } = this.boxes[index]!.box.services
     const baseRevision = table.state.table.revision
@@ -222,8 +234,8 @@
     })
   }
 
-  /** Sends a caller's request to a box. */
-  ask(index: number, ask: CallerAsk): Promise<CallerAnswer> {
+  /** Sends a caller's request to a box. Resolves also when the connection breaks. */
+  ask(index: number, options: CallerRequestOptions): Promise<CallerAnswer> {
     const target = this.boxes[index]!
     const startedAt = this.clock.now()
     const answer: CallerAnswer = {
@@ -231,26 +243,26 @@
       headers: {},
       body: '',
       broken: false,
-      firstByteAfter: 0,
-      took: 0,
+      timeToFirstByte: 0,
+      duration: 0,
     }
     if (target.dead) return Promise.resolve({ ...answer, broken: true })
     return new Promise(resolve => {
-      const hangUp = new AbortController()
+      const disconnection = new AbortController()
       let isDone = false
       const finish = (broken: boolean) => {
         if (isDone) return
         isDone = true
-        target.pending.delete(breakOff)
-        if (broken && !target.dead) hangUp.abort()
-        resolve({ ...answer, broken, took: this.clock.now() - startedAt })
+        target.disconnectCallbacks.delete(disconnect)
+        if (broken && !target.dead) disconnection.abort()
+        resolve({ ...answer, broken, duration: this.clock.now() - startedAt })
       }
-      const breakOff = () => finish(true)
-      target.pending.add(breakOff)
-      if (ask.patience !== undefined) this.clock.after(ask.patience, breakOff)
-      const note = (chunk: Uint8Array | string) => {
+      const disconnect = () => finish(true)
+      target.disconnectCallbacks.add(disconnect)
+      if (options.patience !== undefined) this.clock.after(options.patience, disconnect)
+      const append = (chunk: Uint8Array | string) => {
         if (isDone || target.dead) return
-        if (answer.body === '') answer.firstByteAfter = this.clock.now() - startedAt
+        if (answer.body === '') answer.timeToFirstByte = this.clock.now() - startedAt
         answer.body += typeof chunk === 'string' ? chunk : Buffer.from(chunk).toString()
       }
       const responder: Responder = {
@@ -258,20 +270,20 @@
           answer.status = status
           answer.headers = headers
         },
-        write: note,
+        write: append,
         end(chunk) {
-          if (chunk !== undefined) note(chunk)
+          if (chunk !== undefined) append(chunk)
           if (!target.dead) finish(false)
         },
       }
       const request: CallerRequest = {
-        method: ask.method ?? 'POST',
-        path: ask.path,
-        headers: ask.headers ?? {},
-        body: ask.body ?? '',
-        signal: hangUp.signal,
+        method: options.method ?? 'POST',
+        path: options.path,
+        headers: options.headers ?? {},
+        body: options.body ?? '',
+        signal: disconnection.signal,
       }
-      target.clock.run(() => void target.box.handle(request, responder))
+      target.clock.runOrDefer(() => void target.box.handle(request, responder))
     })
   }
 
@@ -294,20 +306,20 @@
     }
   }
 
-  #serve(
+  #addUpstream(
     name: string,
     handler: StandInHandler,
     listed: Omit<ListedBox, 'name' | 'address' | 'state'>,
   ): void {
     this.#handlers.set(name, handler)
-    this.#listed.push({ name, address: name, state: 'live', ...listed })
+    this.#upstreams.push({ name, address: name, state: 'live', ...listed })
   }
 
   #peerAddresses(): string[] {
     return Array.from({ length: this.options.boxCount }, (_, index) => `box-${index + 1}:peers`)
   }
 
-  #publish(): void {
+  #publishBoxList(): void {
     const entries = this.boxes.map(({ name, dataCentre }): ListedBox => ({
       name,
       role: 'entry',
@@ -315,30 +327,30 @@
       dataCentre,
       state: 'live',
     }))
-    this.boxList.set([...this.#listed, ...entries])
+    this.boxList.set([...this.#upstreams, ...entries])
   }
 
-  async #list() {
+  async #listMachines() {
     await sleep(this.clock, 2)
     return this.boxList.faults.down ? undefined : this.boxList.boxes
   }
 
-  async #rate(cursor: number, router: string) {
+  async #readRatings(cursor: number, router: string) {
     await sleep(this.clock, 2)
     return this.ratings.faults.down ? undefined : this.ratings.ratingsAfter(cursor, router)
   }
 }
 
-/** A store's answers reach a paused box when it wakes. */
-function gated(table: TableService, clock: PausableClock): TableService {
-  const through = async <T>(answer: Promise<T>): Promise<T> => {
+/** Defers answers of the store while the box is paused. */
+function deferAnswers(table: TableService, clock: PausableClock): TableService {
+  const afterPause = async <T>(answer: Promise<T>): Promise<T> => {
     const value = await answer
-    await clock.gate()
+    await clock.whenResumed()
     return value
   }
   return {
-    read: keys => through(table.read(keys)),
-    list: (prefix, options) => through(table.list(prefix, options)),
-    commit: transaction => through(table.commit(transaction)),
+    read: keys => afterPause(table.read(keys)),
+    list: (prefix, options) => afterPause(table.list(prefix, options)),
+    commit: transaction => afterPause(table.commit(transaction)),
   }
 }
