--- a/packages/proof/src/node/demo.ts
+++ b/packages/proof/src/node/demo.ts
@@ -19,9 +19,9 @@
   type RunningSystem,
 } from '../world/startSystem.js'
 
-/** What one request of the demo came to. */
+/** Result of one request of the demo. */
 interface DemoResult {
-  what: string
+  title: string
   box: string
   status: number
   verdict: string
@@ -32,7 +32,7 @@
 }
 
 interface DemoRequest {
-  what: string
+  title: string
   box: number
   path: string
   body: object
@@ -40,8 +40,8 @@
 }
 
 const clock = createSystemClock()
-const LOOK_EVERY = 50
-const isOnce = process.argv.includes('--once')
+const POLL_INTERVAL_MILLISECONDS = 50
+const shouldExit = process.argv.includes('--once')
 
 const system = await startSystem({
   boxCount: 3,
@@ -61,52 +61,65 @@
   system.boxes.every(({ box }) => box.services.membership.livePeers().length === 2),
 )
 let revision = await applyTable(system, DEMO_ROWS, 'first-table')
-await waitUntil(() => isInForce(revision))
+await waitUntil(() => isAppliedByAllBoxes(revision))
 const results: DemoResult[] = []
 results.push(
-  await send(completion('tide-time question', 0, 'tide-time', 'When is high water at Le Morne?')),
+  await sendRequest(
+    completionRequest('tide-time question', 0, 'tide-time', 'When is high water at Le Morne?'),
+  ),
 )
 results.push(
-  await send(completion('complaint tag', 1, 'complaint-tag', 'The shower was cold again.')),
+  await sendRequest(
+    completionRequest('complaint tag', 1, 'complaint-tag', 'The shower was cold again.'),
+  ),
 )
 results.push(
-  await send(
-    completion('season summary (streamed)', 2, 'season-summary', 'Summarise the season.', {}, true),
+  await sendRequest(
+    completionRequest(
+      'season summary (streamed)',
+      2,
+      'season-summary',
+      'Summarise the season.',
+      {},
+      true,
+    ),
   ),
 )
-const first = await send(
-  completion('pre-bell session starts', 0, 'pre-bell', 'What is the grade of lot 12?', {
+const firstSession = await sendRequest(
+  completionRequest('pre-bell session starts', 0, 'pre-bell', 'What is the grade of lot 12?', {
     'yewkeel-session': 'new',
   }),
 )
-results.push(first)
-results.push(await send(hold('pitch hold', 1, 'hold-77')))
-results.push(await send(hold('the same hold again, elsewhere', 2, 'hold-77')))
+results.push(firstSession)
+results.push(await sendRequest(holdRequest('pitch hold', 1, 'hold-77')))
+results.push(await sendRequest(holdRequest('the same hold again, elsewhere', 2, 'hold-77')))
 
 console.log(
   'an operator moves new sessions to large@2 and withdraws small@1 in favour of small@2\n',
 )
 revision = await applyTable(system, changedRows(), 'second-table')
-await waitUntil(() => isInForce(revision))
+await waitUntil(() => isAppliedByAllBoxes(revision))
 results.push(
-  await send(
-    completion('pre-bell session goes on', 1, 'pre-bell', 'And of lot 13?', {
-      'yewkeel-session': first.session,
+  await sendRequest(
+    completionRequest('pre-bell session goes on', 1, 'pre-bell', 'And of lot 13?', {
+      'yewkeel-session': firstSession.session,
     }),
   ),
 )
 results.push(
-  await send(
-    completion('season summary, new version', 2, 'season-summary', 'Summarise the season.'),
+  await sendRequest(
+    completionRequest('season summary, new version', 2, 'season-summary', 'Summarise the season.'),
   ),
 )
 results.push(
-  await send(completion('tide-time question, new version', 0, 'tide-time', 'When is low water?')),
+  await sendRequest(
+    completionRequest('tide-time question, new version', 0, 'tide-time', 'When is low water?'),
+  ),
 )
 results.push(
-  await send(
-    completion('old session asks for the withdrawn version', 1, 'tide-time', 'High water?', {
-      'yewkeel-session': first.session,
+  await sendRequest(
+    completionRequest('old session asks for the withdrawn version', 1, 'tide-time', 'High water?', {
+      'yewkeel-session': firstSession.session,
     }),
   ),
 )
@@ -115,27 +128,27 @@
 const bills = readBills(system)
 printResults(results, bills)
 const summary = summarise(results, bills)
-if (isOnce) {
+if (shouldExit) {
   await system.close()
   console.log(JSON.stringify(summary))
   process.exit(summary.right ? 0 : 1)
 }
-printLines(system)
+printCommands(system)
 
-/** Waits for a state, however long a slow machine takes to come to it. */
-async function waitUntil(holds: () => boolean): Promise<void> {
-  while (!holds()) await sleep(clock, LOOK_EVERY)
+/** Polls until the condition holds, without a time limit. */
+async function waitUntil(condition: () => boolean): Promise<void> {
+  while (!condition()) await sleep(clock, POLL_INTERVAL_MILLISECONDS)
 }
 
-function isInForce(wanted: number): boolean {
+function isAppliedByAllBoxes(minRevision: number): boolean {
   return system.boxes.every(({ box }) => {
     const { table } = box.services
-    return table.state.table.revision >= wanted && table.freshness() !== 'stale'
+    return table.state.table.revision >= minRevision && table.freshness() !== 'stale'
   })
 }
 
-function completion(
-  what: string,
+function completionRequest(
+  title: string,
   box: number,
   kind: string,
   prompt: string,
@@ -145,7 +158,7 @@
   const messages = [{ role: 'user', content: prompt }]
   const body = { model: 'auto', stream, messages, max_tokens: 32 }
   return {
-    what,
+    title,
     box,
     path: '/v1/chat/completions',
     body,
@@ -153,13 +166,19 @@
   }
 }
 
-function hold(what: string, box: number, key: string): DemoRequest {
+function holdRequest(title: string, box: number, key: string): DemoRequest {
   const headers = { 'idempotency-key': key }
-  return { what, box, path: '/v1/services/booking/holds', body: { pitch: 14, nights: 3 }, headers }
+  return {
+    title,
+    box,
+    path: '/v1/services/booking/holds',
+    body: { pitch: 14, nights: 3 },
+    headers,
+  }
 }
 
-async function send({
-  what,
+async function sendRequest({
+  title,
   box,
   path,
   body,
@@ -179,11 +198,11 @@
   const key = headers?.['idempotency-key']
   const header = (name: string) => String(answer.headers[name] ?? '')
   return {
-    what,
+    title,
     box: `box-${box + 1}`,
     status: answer.statusCode,
     verdict: header('yewkeel-verdict') || (answer.statusCode < 400 ? 'ran' : ''),
-    // Attempts that share a key share a bill, which is named by the key.
+    // Attempts with the same idempotency key share a bill, whose id is derived from the key.
     billId: key ? resolveBillId(ORGANISATION, path, key) : header('x-request-id'),
     version: header('yewkeel-version'),
     upstream: header('yewkeel-upstream'),
@@ -246,7 +265,7 @@
     const bill = bills.find(bill => bill.requestId === row.billId)
     const cost = bill ? (billCost(bill) / 1e6).toFixed(6) : '-'
     table.push([
-      row.what,
+      row.title,
       row.box,
       row.status,
       row.verdict,
@@ -263,11 +282,11 @@
   const answered = rows.filter(row => row.status < 400)
   const ids = bills.map(bill => bill.requestId)
   const billedTwice = ids.length - new Set(ids).size
-  // A call that is asked for again gets the first one's answer under the first one's id and bill.
+  // A repeated call is answered with the stored answer and shares the bill of the first call.
   const billed = answered.filter(row => ids.includes(row.billId))
   const refusedNotRun = rows.filter(row => row.status >= 400 && row.verdict === 'not-run').length
   const holdsRun = [...system.standIns.services.get('booking')!.runs.values()]
-  const right =
+  const isCorrect =
     answered.length + refusedNotRun === rows.length &&
     billedTwice === 0 &&
     billed.length === answered.length &&
@@ -280,11 +299,11 @@
     billedTwice,
     refusedNotRun,
     revision,
-    right,
+    right: isCorrect,
   }
 }
 
-function printLines({ boxes }: RunningSystem): void {
+function printCommands({ boxes }: RunningSystem): void {
   const entry = boxes[0]!.entryAddress
   const operators = boxes[0]!.operatorsAddress
   const body = `{"model":"auto","stream":true,"messages":[{"role":"user","content":"When is high water?"}]}`
--- a/packages/proof/src/node/measure.ts
+++ b/packages/proof/src/node/measure.ts
@@ -14,11 +14,16 @@
   slopes: measureSlopes,
 }
 
-const DEFAULT_SEEDS: Record<string, number> = { overhead: 3, faults: 3, policy: 10, slopes: 1 }
+const DEFAULT_SEED_COUNTS: Record<string, number> = {
+  overhead: 3,
+  faults: 3,
+  policy: 10,
+  slopes: 1,
+}
 
 const [name = '', ...flags] = process.argv.slice(2)
-const measure = MEASURES[name]
-if (!measure) {
+const runMeasure = MEASURES[name]
+if (!runMeasure) {
   console.error(
     `usage: npm run measure -- NAME [--json] [--seeds FROM-TO] [--quick] [--plot FILE.svg]`,
   )
@@ -26,20 +31,20 @@
   process.exit(2)
 }
 const isJson = flags.includes('--json')
-const rows = await measure({ seeds: readSeeds(), quick: flags.includes('--quick') }, text => {
+const rows = await runMeasure({ seeds: readSeeds(), quick: flags.includes('--quick') }, text => {
   if (!isJson) process.stderr.write(`${text}\n`)
 })
-const plotAt = flags.indexOf('--plot')
-if (plotAt !== -1) writeFileSync(flags[plotAt + 1] ?? `${name}.svg`, await plotRows(rows))
+const plotIndex = flags.indexOf('--plot')
+if (plotIndex !== -1) writeFileSync(flags[plotIndex + 1] ?? `${name}.svg`, await plotRows(rows))
 if (isJson) console.log(JSON.stringify({ measure: name, rows }))
 else printRows(rows)
 process.exit(0)
 
-/** Seeds of `--seeds FROM-TO`; as many as the measurement's goals ask for when none are given. */
+/** Parses `--seeds FROM-TO`. Defaults to the seeds from 1 to the default count of the measure. */
 function readSeeds(): number[] {
-  const at = flags.indexOf('--seeds')
-  const [from = 1, to = DEFAULT_SEEDS[name] ?? 3] =
-    at === -1 ? [] : (flags[at + 1] ?? '').split('-').map(Number)
+  const flagIndex = flags.indexOf('--seeds')
+  const [from = 1, to = DEFAULT_SEED_COUNTS[name] ?? 3] =
+    flagIndex === -1 ? [] : (flags[flagIndex + 1] ?? '').split('-').map(Number)
   return Array.from({ length: Math.max(1, to - from + 1) }, (_, index) => from + index)
 }
 
--- a/packages/proof/src/node/modelCheck.ts
+++ b/packages/proof/src/node/modelCheck.ts
@@ -7,14 +7,14 @@
 
 type AnyModel = Model<never, never>
 
-/** A protocol's models, and the rules that may be taken from it, each of which must break an invariant. */
+/** Models and mutations of a protocol. Each mutation removes a rule and must violate an invariant. */
 interface Protocol {
-  /** One model for each set of faults that is explored together. */
+  /** Creates one model for each set of faults, optionally with a mutation. */
   create(mutation?: string): AnyModel[]
   mutations: string[]
 }
 
-function protocol<Mutation extends string>(
+function createProtocol<Mutation extends string>(
   create: (mutation?: Mutation) => unknown[],
   mutations: Mutation[],
 ): Protocol {
@@ -22,7 +22,7 @@
 }
 
 const PROTOCOLS: Protocol[] = [
-  protocol<TableMutation>(
+  createProtocol<TableMutation>(
     mutation => TABLE_FAULTS.map(faults => createTableModel(mutation, faults)),
     [
       'write without telling a majority',
@@ -33,7 +33,7 @@
       'call a lost write refused',
     ],
   ),
-  protocol<BillMutation>(
+  createProtocol<BillMutation>(
     mutation => [createBillModel(mutation)],
     [
       'let the end out before the bill is held',
@@ -42,7 +42,7 @@
       'release witnesses before the store has the bill',
     ],
   ),
-  protocol<ClaimMutation>(
+  createProtocol<ClaimMutation>(
     mutation => [createClaimModel(mutation)],
     [
       'send before the claim is known',
@@ -52,7 +52,7 @@
       'say not-run without knowing the claim',
     ],
   ),
-  protocol<LeaseMutation>(
+  createProtocol<LeaseMutation>(
     mutation => [createLeaseModel(mutation)],
     [
       'lapse before the holder gives up',
@@ -61,16 +61,17 @@
       'engine does not check the fence',
     ],
   ),
-  protocol<DrainMutation>(
+  createProtocol<DrainMutation>(
     mutation => [createDrainModel(mutation)],
     ['refuse at once', 'stop with requests in flight', 'stop with unwritten bills'],
   ),
 ]
 
-const isMutating = process.argv.includes('--mutations')
-const failed = isMutating ? checkMutations() : checkModels()
+const shouldCheckMutations = process.argv.includes('--mutations')
+const failed = shouldCheckMutations ? checkMutations() : checkModels()
 process.exit(failed ? 1 : 0)
 
+/** Checks the invariants of all models. Returns whether one was violated. */
 function checkModels(): boolean {
   let states = 0
   let violations = 0
@@ -84,7 +85,7 @@
   return violations > 0
 }
 
-/** Every mutation must be caught: a check that cannot fail proves nothing. */
+/** Checks that the invariants detect every mutation. Returns whether one was missed. */
 function checkMutations(): boolean {
   let caught = 0
   let missed = 0
