--- a/packages/box/src/createBox.ts
+++ b/packages/box/src/createBox.ts
@@ -5,7 +5,7 @@
   formatVersion,
   resolveWitnesses,
   sleep,
-  takesNewRequests,
+  acceptsNewRequests,
   type Clock,
   type Milliseconds,
   type Random,
@@ -129,7 +129,7 @@
     log,
     metrics,
     competingVersions: () => competingVersions(),
-    onRating: (answer, good) => quality.noteRating(answer, good),
+    onRating: (answer, good) => quality.recordRating(answer, good),
     isServed: version => upstreams.isServed(version),
     boxCount,
   })
@@ -139,7 +139,7 @@
     clock,
     log,
     listMachines: () => platform.listMachines(),
-    onEntryBoxes: names => membership.setListed(names),
+    onEntryBoxes: names => membership.setListedBoxes(names),
   })
   const placement = new PlacementTask({
     self,
@@ -164,9 +164,9 @@
     onMessage: (from, message) => handlePeerMessage(voterOf(from), message),
     onConnected(peer) {
       const voter = voterOf(peer)
-      exposure.resetPeer(voter)
+      exposure.forgetSent(voter)
       bills.post({ type: 'peer-connected', peer: voter })
-      send(voter, { type: 'suspects', entries: suspects.all() })
+      send(voter, { type: 'suspects', entries: suspects.updates() })
     },
     onSilent: voter => removePeer(voter),
     onGone(voter) {
@@ -180,10 +180,10 @@
     holder: self,
     clock,
     random,
-    note: (event, fields) => log.info(fields, event),
-    tell: entries => sendToAll({ type: 'suspects', entries: [...entries] }),
-    isMesh: () => true,
-    onCondemned: () => metrics.count('requests.condemned'),
+    log: (event, fields) => log.info(fields, event),
+    broadcast: entries => sendToAll({ type: 'suspects', entries: [...entries] }),
+    isFullMesh: () => true,
+    onQuarantined: () => metrics.count('requests.condemned'),
   })
 
   const services: BoxServices = {
@@ -200,16 +200,16 @@
     bills,
     claims: new ClaimTask({ table: platform.table, clock, log }),
     upstreams,
-    uses: new PoolUses(),
+    poolUses: new PoolUses(),
     allowances,
     exposure,
     quality,
     streams,
-    retries: createRetryBudget(),
+    retryBudget: createRetryBudget(),
     suspects,
     strategy: settings.strategy,
     load: () => openRequests / settings.limits.openRequests,
-    takesNewRequests: () => takesNewRequests(drain),
+    acceptsNewRequests: () => acceptsNewRequests(drain),
   }
   const handleRequest = createRequestHandler(
     services,
@@ -266,8 +266,8 @@
     })
     upstreams.setPeerInFlight(from, heartbeat.inFlight)
     allowances.setPeerDemand(from, heartbeat.demand)
-    exposure.hear(heartbeat.evidence, heartbeat.halts)
-    placement.hear(from, heartbeat.emptying)
+    exposure.merge(heartbeat.evidence, heartbeat.halts)
+    placement.setPeerEmptying(from, heartbeat.emptying)
   }
 
   const messageHandlers: {
@@ -298,7 +298,7 @@
       if (reply) send(from, reply)
     },
     suspects: (_from, message: Extract<PeerMessage, { type: 'suspects' }>) =>
-      void suspects.take(message.entries),
+      void suspects.merge(message.entries),
     'stream-answer': (_from, message: Extract<PeerMessage, { type: 'stream-answer' }>) =>
       streams.receiveAnswer(message.requestId, message.bill),
   }
@@ -367,17 +367,17 @@
       while (drain.step !== 'stopped') {
         if (drain.step === 'flushing') await bills.flushAll()
         advance({ type: 'in-flight', count: openRequests })
-        advance({ type: 'unwritten-bills', count: bills.unwritten })
+        advance({ type: 'unwritten-bills', count: bills.unwrittenCount })
         await sleep(clock, DRAIN_CHECK_INTERVAL)
       }
-      await allowances.giveBack()
+      await allowances.returnUnspent()
       stopTasks()
       membership.stop()
       log.info({}, 'the box has stopped')
     },
     kill() {
       stopTasks()
-      membership.halt()
+      membership.abort()
     },
   }
 }
--- a/packages/box/src/node/upstreamClient.ts
+++ b/packages/box/src/node/upstreamClient.ts
@@ -4,7 +4,7 @@
   UpstreamFailure,
   type SendLimits,
   type Sent,
-  type TakeOutcome,
+  type ChunkOutcome,
   type UpstreamAnswer,
   type UpstreamClient,
   type UpstreamRequest,
@@ -28,7 +28,7 @@
   async send(
     address: string,
     request: UpstreamRequest,
-    { signal, answerWithin = 0 }: SendLimits = {},
+    { signal, responseTimeout = 0 }: SendLimits = {},
   ): Promise<UpstreamAnswer> {
     try {
       const answer = await this.#poolOf(address).request({
@@ -39,14 +39,14 @@
         // Requests may be non-idempotent: undici must not pipeline or resend them.
         idempotent: false,
         // 0 disables the timeout.
-        headersTimeout: Math.max(0, Math.ceil(answerWithin)),
+        headersTimeout: Math.max(0, Math.ceil(responseTimeout)),
         ...(signal && { signal }),
       })
       return {
         status: answer.statusCode,
         headers: answer.headers as Record<string, string>,
         body: answer.body,
-        pump: onChunk => pumpStream(answer.body, onChunk),
+        forEachChunk: onChunk => pumpStream(answer.body, onChunk),
       }
     } catch (error) {
       throw new UpstreamFailure(sentStateOf(error), String(error), isHeadersTimeout(error))
@@ -73,7 +73,7 @@
 }
 
 /** Passes chunks to `onChunk`: a promise pauses the stream until it resolves, 'stop' destroys it. */
-function pumpStream(body: Readable, onChunk: (chunk: Uint8Array) => TakeOutcome): Promise<void> {
+function pumpStream(body: Readable, onChunk: (chunk: Uint8Array) => ChunkOutcome): Promise<void> {
   return new Promise((resolve, reject) => {
     body.on('data', (chunk: Uint8Array) => {
       const outcome = onChunk(chunk)
--- a/packages/box/src/node/wsTransport.ts
+++ b/packages/box/src/node/wsTransport.ts
@@ -20,9 +20,9 @@
   clock: Clock
   log: Log
   /** A link with more than this buffered for sending is closed. Bytes; 16 MiB by default. */
-  largestBacklog?: number
+  maxBacklogBytes?: number
   /** Minimum size of a frame to compress. Bytes; without it, frames aren't compressed. */
-  compressFrom?: number
+  compressionThresholdBytes?: number
 }
 
 const MAX_MESSAGE_BYTES = 64 * 1024 * 1024
@@ -112,7 +112,7 @@
   send(to: string, message: Message): boolean {
     const link = this.#linksByVoter.get(to)
     if (!link || link.socket.readyState !== WebSocket.OPEN) return false
-    if (link.socket.bufferedAmount > (this.options.largestBacklog ?? MAX_BACKLOG_BYTES)) {
+    if (link.socket.bufferedAmount > (this.options.maxBacklogBytes ?? MAX_BACKLOG_BYTES)) {
       link.socket.terminate()
       return false
     }
@@ -180,10 +180,10 @@
 
   /** Compresses each frame separately, so that a link keeps no compression window in memory. */
   #compression() {
-    const { compressFrom } = this.options
-    if (compressFrom === undefined) return false
+    const { compressionThresholdBytes } = this.options
+    if (compressionThresholdBytes === undefined) return false
     return {
-      threshold: compressFrom,
+      threshold: compressionThresholdBytes,
       serverNoContextTakeover: true,
       clientNoContextTakeover: true,
     }
--- a/packages/box/src/operators/handleOperator.ts
+++ b/packages/box/src/operators/handleOperator.ts
@@ -19,7 +19,7 @@
 import type { Box } from '../createBox.js'
 import { answerRefusal } from '../requests/answerRefusal.js'
 import { CallerKeys } from '../requests/callerKeys.js'
-import { MILLIONTHS } from '../tasks/allowanceTask.js'
+import { MICROS_PER_CURRENCY_UNIT } from '../tasks/allowanceTask.js'
 import type { BoxServices } from '../types/context.js'
 import type { CallerRequest, Responder } from '../types/ports.js'
 
@@ -183,7 +183,7 @@
     storeWentBack: table.state.storeWentBack,
     voters: table.state.voters?.voters ?? [],
     openChanges: [...table.state.open.keys()],
-    bills: { unwritten: bills.unwritten, heldForOthers: bills.heldForOthers },
+    bills: { unwritten: bills.unwrittenCount, heldForOthers: bills.heldForOthers },
     placement: { holder: placement.isHolder, paused: placement.isPaused },
     boxes: membership.livePeers().map(peer => ({
       box: peer.identity.box,
@@ -211,7 +211,7 @@
     compared: !judgement.isIncumbent,
     halted: exposure.isHalted(judgement.version),
     ...exposure.countsOf(judgement.version),
-    room: Number.isFinite(judgement.room) ? judgement.room : null,
+    room: Number.isFinite(judgement.headroom) ? judgement.headroom : null,
     upstreams: upstreams.poolOf(judgement.version).length,
   }))
   return {
@@ -230,7 +230,7 @@
   if (answer.outcome !== 'read') return storeUnavailable()
   const organisations = answer.rows.map(row => ({
     organisation: row.key.split('/').at(-1),
-    drawn: (JSON.parse(row.value) as SpendRow).drawn / MILLIONTHS,
+    drawn: (JSON.parse(row.value) as SpendRow).drawn / MICROS_PER_CURRENCY_UNIT,
   }))
   const bills = await services.table.store.list(BILL_PREFIX, { limit: 10_000 })
   const billed = new Map<string, { cost: number; count: number }>()
@@ -238,7 +238,7 @@
     const bill = JSON.parse(row.value) as Bill
     const sum = billed.get(bill.organisation) ?? { cost: 0, count: 0 }
     sum.count++
-    sum.cost += billCost(bill) / MILLIONTHS
+    sum.cost += billCost(bill) / MICROS_PER_CURRENCY_UNIT
     billed.set(bill.organisation, sum)
   }
   return ok({ day, organisations, billed: Object.fromEntries(billed) })
--- a/packages/box/src/requests/callService.ts
+++ b/packages/box/src/requests/callService.ts
@@ -1,5 +1,5 @@
 import { createHash } from 'node:crypto'
-import { refuseNotRun, withoutClaimKnown, type KeptAnswer, type Refusal } from '@yewkeel/decisions'
+import { refuseNotRun, qualifyRefusal, type KeptAnswer, type Refusal } from '@yewkeel/decisions'
 import type { RequestContext } from '../types/context.js'
 import type { HeldClaim } from '../tasks/claimTask.js'
 import { readText } from '../tasks/upstreamTask.js'
@@ -86,7 +86,7 @@
     request.path.startsWith(SERVICE_PATH) &&
     !SAFE_METHODS.has(request.method) &&
     request.headers[KEY_HEADER] !== undefined
-  return isClaimed ? withoutClaimKnown(refusal, isFirstAttempt(context)) : refusal
+  return isClaimed ? qualifyRefusal(refusal, isFirstAttempt(context)) : refusal
 }
 
 /** Sends a claimed call once and settles its claim, even if the caller disconnects meanwhile. */
@@ -110,7 +110,7 @@
   return {
     plan: {
       served: service,
-      mayRepeat,
+      isRetryable: mayRepeat,
       admission: {
         organisation,
         priority: limit.priority,
--- a/packages/box/src/requests/completionTask.ts
+++ b/packages/box/src/requests/completionTask.ts
@@ -2,7 +2,7 @@
   formatVersion,
   type ModelVersion,
   type Refusal,
-  type RequestOutlook,
+  type RequestProfile,
 } from '@yewkeel/decisions'
 import type { RequestContext, SendPlan } from '../types/context.js'
 import type { UpstreamRequest } from '../types/ports.js'
@@ -26,7 +26,7 @@
   /** Ids of upstreams that failed this request. */
   excluded: Set<string>
   /** Probability of a good answer that the cascade's plan expects. Set once the plan is made. */
-  promised?: number
+  predictedQuality?: number
 }
 
 /** Options for sending a completion to an engine. `extra` overrides fields of the caller's body. */
@@ -41,7 +41,7 @@
   const cached = services.upstreams.prefixes.match(blocks)
   const plan: SendPlan = {
     served,
-    mayRepeat: true,
+    isRetryable: true,
     admission: {
       organisation: context.organisation,
       priority: limit.priority,
@@ -49,7 +49,7 @@
       deadline: context.receivedAt + services.settings.limits.firstTokenMilliseconds,
     },
   }
-  const outlook: RequestOutlook = {
+  const outlook: RequestProfile = {
     dataCentre: services.settings.dataCentre,
     promptTokens: completion.promptTokens,
     cachedTokensOf: upstream => cached.get(upstream) ?? 0,
@@ -63,7 +63,7 @@
     checkBeforeSend: () => checkBeforeSend(context, version),
     onChosen(view, streamId) {
       bill.open(view.id, streamId)
-      services.upstreams.prefixes.note(blocks, view.id)
+      services.upstreams.prefixes.record(blocks, view.id)
     },
   }
 }
--- a/packages/box/src/requests/eventStream.ts
+++ b/packages/box/src/requests/eventStream.ts
@@ -1,6 +1,6 @@
 /** Reads server-sent event streams as bytes, without parsing the events that pass through. */
 import type { Usage } from '@yewkeel/decisions'
-import type { TakeOutcome, UpstreamAnswer } from '../types/ports.js'
+import type { ChunkOutcome, UpstreamAnswer } from '../types/ports.js'
 
 const EVENT_END = Buffer.from('\n\n')
 const DONE = Buffer.from('data: [DONE]')
@@ -12,7 +12,7 @@
   #remainder: Buffer | undefined
 
   /** Whether bytes of an incomplete event are buffered. */
-  get hasRest(): boolean {
+  get hasPartialEvent(): boolean {
     return this.#remainder !== undefined
   }
 
@@ -38,14 +38,14 @@
   }
 }
 
-/** Calls `take` for each piece of an answer's body, through `pump` where the client offers it. */
+/** Calls `take` for each piece of an answer's body, through `forEachChunk` where the client offers it. */
 export async function forEachPiece(
-  answer: Pick<UpstreamAnswer, 'body' | 'pump'>,
-  take: (piece: Buffer) => TakeOutcome,
+  answer: Pick<UpstreamAnswer, 'body' | 'forEachChunk'>,
+  take: (piece: Buffer) => ChunkOutcome,
 ): Promise<void> {
-  if (!answer.pump) return takeEach(answer.body, take)
+  if (!answer.forEachChunk) return takeEach(answer.body, take)
   const splitter = new EventSplitter()
-  return answer.pump(chunk => {
+  return answer.forEachChunk(chunk => {
     const piece = splitter.push(chunk)
     return piece && take(piece)
   })
@@ -53,7 +53,7 @@
 
 async function takeEach(
   body: AsyncIterable<Uint8Array>,
-  take: (piece: Buffer) => TakeOutcome,
+  take: (piece: Buffer) => ChunkOutcome,
 ): Promise<void> {
   for await (const piece of wholeEvents(body)) {
     const outcome = take(piece)
--- a/packages/box/src/requests/filters.ts
+++ b/packages/box/src/requests/filters.ts
@@ -52,7 +52,7 @@
 }
 
 function refuseWhileDraining({ services }: RequestContext): Refusal | undefined {
-  if (services.takesNewRequests()) return undefined
+  if (services.acceptsNewRequests()) return undefined
   return refuseNotRun(
     'box-leaving',
     'this box is being stopped; use another of your addresses, or ask /v1/where for new ones',
@@ -96,7 +96,7 @@
 
 function limitRate(context: RequestContext): Refusal | undefined {
   const { services, organisation, limit } = context
-  if (services.allowances.takeRequest(organisation, limit)) return undefined
+  if (services.allowances.takeRateToken(organisation, limit)) return undefined
   return refuseNotRun(
     'rate-limited',
     'the organisation is over its requests per second',
--- a/packages/box/src/requests/handleRequest.ts
+++ b/packages/box/src/requests/handleRequest.ts
@@ -109,7 +109,7 @@
 
 function answerReady(services: BoxServices, _request: CallerRequest, responder: Responder): void {
   const freshness = services.table.freshness()
-  const isReady = services.takesNewRequests() && freshness !== 'stale'
+  const isReady = services.acceptsNewRequests() && freshness !== 'stale'
   const { revision } = services.table.state.table
   answerJson(responder, isReady ? 200 : 503, { ready: isReady, freshness, revision })
 }
--- a/packages/box/src/requests/judgeStage.ts
+++ b/packages/box/src/requests/judgeStage.ts
@@ -40,12 +40,12 @@
   const answer = text && parseAnswer(text)
   if (!answer) return undefined
   if (answer.model !== formatVersion(version)) {
-    context.services.upstreams.noteLie(open.view, formatVersion(version))
+    context.services.upstreams.recordVersionMismatch(open.view, formatVersion(version))
     return undefined
   }
   bill.addLine(version, open.view.id, readUsage(text) ?? { promptTokens: 0, completionTokens: 0 })
   const confidence = confidenceOf(answer)
-  const bucket = context.services.quality.noteAnswer(completion.kind, version.model, confidence)
+  const bucket = context.services.quality.recordAnswer(completion.kind, version.model, confidence)
   return { confidence, bucket, version, open, answer }
 }
 
--- a/packages/box/src/requests/relayCompletion.ts
+++ b/packages/box/src/requests/relayCompletion.ts
@@ -6,7 +6,7 @@
   type Usage,
 } from '@yewkeel/decisions'
 import type { RequestContext } from '../types/context.js'
-import type { TakeOutcome, UpstreamAnswer } from '../types/ports.js'
+import type { ChunkOutcome, UpstreamAnswer } from '../types/ports.js'
 import { readText } from '../tasks/upstreamTask.js'
 import { sendOptionsFor, type CompletionTask } from './completionTask.js'
 import { endStreamWithRefusal } from './answerRefusal.js'
@@ -28,7 +28,7 @@
     const relay = task.completion.body.stream ? relayStream : relayBuffered
     const outcome = await relay(task, version, sent.value)
     if (outcome !== 'wrong-version') return outcome
-    context.services.upstreams.noteLie(sent.value.view, formatVersion(version))
+    context.services.upstreams.recordVersionMismatch(sent.value.view, formatVersion(version))
     task.excluded.add(sent.value.view.id)
   }
   return refuseWrongVersions(version)
@@ -112,7 +112,7 @@
 ): Promise<void> {
   const { responder, request } = task.context
   const keepUsage = task.completion.body.stream_options?.include_usage === true
-  const forwardPiece = (piece: Buffer): TakeOutcome => {
+  const forwardPiece = (piece: Buffer): ChunkOutcome => {
     const end = splitEnd(piece, keepUsage)
     if (end) {
       const usage = end.usage ?? progress.usage
@@ -124,7 +124,7 @@
     if (request.signal.aborted) return 'stop'
     return responder.write(piece)
   }
-  const handlePiece = (piece: Buffer): TakeOutcome => {
+  const handlePiece = (piece: Buffer): ChunkOutcome => {
     if (progress.started) return forwardPiece(piece)
     if (modelOf(piece) !== formatVersion(version)) {
       progress.wrongVersion = true
@@ -276,17 +276,17 @@
 
 /** Records the answer for its version's exposure limit and for a later rating. */
 export function recordServed(
-  { context, completion, promised }: CompletionTask,
+  { context, completion, predictedQuality }: CompletionTask,
   version: ModelVersion,
   open: OpenAnswer,
   bucket?: number,
 ): void {
-  context.services.exposure.noteServed(open.streamId, {
+  context.services.exposure.recordAnswer(open.streamId, {
     organisation: context.organisation,
     kind: completion.kind,
     ...version,
     ...(bucket !== undefined && { bucket }),
-    ...(promised !== undefined && { promised }),
+    ...(predictedQuality !== undefined && { predictedQuality: predictedQuality }),
   })
 }
 
--- a/packages/box/src/requests/sendToUpstream.ts
+++ b/packages/box/src/requests/sendToUpstream.ts
@@ -2,22 +2,22 @@
   admit,
   chooseUpstream,
   earnRetry,
-  noteAskedRest,
-  noteEnded,
-  noteFailure,
-  noteFirstToken,
-  noteSent,
-  noteSuccess,
+  noteBackOff,
+  recordEnd,
+  recordFailure,
+  recordFirstToken,
+  recordSend,
+  recordSuccess,
   predictFirstToken,
   predictQueue,
   readDecimal,
   refuseMayHaveRun,
   refuseNotRun,
   spendRetry,
-  TURNS_AWAY,
+  BACK_PRESSURE_STATUSES,
   type Milliseconds,
   type Refusal,
-  type RequestOutlook,
+  type RequestProfile,
   type UpstreamView,
 } from '@yewkeel/decisions'
 import { Result } from 'true-myth'
@@ -47,7 +47,7 @@
 
 export interface SendOptions {
   plan: SendPlan
-  outlook: RequestOutlook
+  outlook: RequestProfile
   /** Upstreams whose prefix cache holds part of the prompt. */
   affine: readonly UpstreamView[]
   /** Ids of upstreams that failed this request. Shared by all attempts, which add to it. */
@@ -67,7 +67,7 @@
 
 /**
  * Sends a request to the best upstream. A failed attempt that did not run is retried at another
- * upstream; one that may have run is retried only if `plan.mayRepeat`. Each retry takes a token of
+ * upstream; one that may have run is retried only if `plan.isRetryable`. Each retry takes a token of
  * the retry budget.
  */
 export async function sendToUpstream(
@@ -81,7 +81,7 @@
     return Result.err<OpenAnswer, Refusal>(refusal)
   }
   for (let attempt = 1; ; attempt++) {
-    const suspectRefusal = await attempts.awaitTurn(options.plan.admission.deadline)
+    const suspectRefusal = await attempts.waitForAdmission(options.plan.admission.deadline)
     if (suspectRefusal) return Result.err(suspectRefusal)
     const view = pickUpstream(context, options, attempt)
     if (!view) return refuse(refuseNoUpstream(options.plan))
@@ -90,13 +90,13 @@
     const sent = await sendOnce(context, options, attempts, view, attempt)
     if (sent.isOk || sent.error.verdict !== 'not-run') context.mayHaveRun = true
     if (sent.isOk) {
-      earnRetry(services.retries)
+      earnRetry(services.retryBudget)
       return Result.ok(sent.value)
     }
     options.excluded.add(view.id)
-    const mayRetry = sent.error.verdict === 'not-run' || options.plan.mayRepeat
+    const mayRetry = sent.error.verdict === 'not-run' || options.plan.isRetryable
     const isLast = attempt >= MAX_ATTEMPTS || !mayRetry || context.request.signal.aborted
-    if (isLast || !spendRetry(services.retries)) return Result.err(sent.error)
+    if (isLast || !spendRetry(services.retryBudget)) return Result.err(sent.error)
     services.metrics.count('upstream.retries')
   }
 }
@@ -122,7 +122,7 @@
   { plan, outlook }: SendOptions,
   view: UpstreamView,
 ): Refusal | undefined {
-  const uses = services.uses.usesOf(plan.served)
+  const uses = services.poolUses.usesOf(plan.served)
   const ownUse = uses.get(organisation)
   if (ownUse) ownUse.share = limit.share
   const pool = {
@@ -149,16 +149,16 @@
   const span = services.tracer.start(`upstream ${view.id}`, context.span)
   span.set({ 'upstream.id': view.id, 'upstream.served': plan.served })
   options.onChosen(view, streamId)
-  noteSent(view, sentAt)
+  recordSend(view, sentAt)
   const send = attempts.recordSend(view)
-  services.uses.add(plan.served, organisation, limit.share)
+  services.poolUses.add(plan.served, organisation, limit.share)
 
   const release = once((ended: AnswerEnd) => {
-    noteEnded(view, services.clock.now())
-    services.uses.remove(plan.served, organisation)
+    recordEnd(view, services.clock.now())
+    services.poolUses.remove(plan.served, organisation)
     const isSuccess = ended === 'well' || ended === 'whole'
-    if (isSuccess) noteSuccess(view, services.clock.now() - sentAt)
-    else if (ended !== 'turned-away') noteFailure(view, services.clock.now())
+    if (isSuccess) recordSuccess(view, services.clock.now() - sentAt)
+    else if (ended !== 'turned-away') recordFailure(view, services.clock.now())
     attempts.recordEnd(view, send, ended)
     span.end(isSuccess ? undefined : 'the upstream failed')
   })
@@ -167,11 +167,11 @@
     if (span.traceparent) built.headers.traceparent = span.traceparent
     const answer = await services.client.send(view.address, built, {
       signal: request.signal,
-      answerWithin: plan.admission.deadline - sentAt,
+      responseTimeout: plan.admission.deadline - sentAt,
     })
     const retryAfter = readRetryAfter(answer)
     if (retryAfter !== undefined) {
-      noteAskedRest(view, retryAfter, services.clock.now())
+      noteBackOff(view, retryAfter, services.clock.now())
       services.log.info(
         { upstream: view.id, rest: retryAfter },
         'upstream rejected a request with Retry-After; backing off',
@@ -189,21 +189,23 @@
         ),
       )
     }
-    noteFirstToken(view, services.clock.now() - sentAt, queue)
+    recordFirstToken(view, services.clock.now() - sentAt, queue)
     return Result.ok({ view, answer, streamId, release })
   } catch (error) {
     release(request.signal.aborted ? 'well' : 'broken')
     await attempts.crashChecked
     const failure =
       error instanceof UpstreamFailure ? error : new UpstreamFailure('maybe', String(error))
-    if (failure.late) return Result.err(refuseDeadlinePassed(failure))
+    if (failure.isTimeout) return Result.err(refuseDeadlinePassed(failure))
     return Result.err(refuseFailed(view, failure.message, failure.sent === 'no'))
   }
 }
 
 /** The `Retry-After` of an answer that rejects the request, in milliseconds. */
 function readRetryAfter({ status, headers }: UpstreamAnswer): Milliseconds | undefined {
-  const seconds = TURNS_AWAY.has(status) ? readDecimal(headers['retry-after'] ?? '') : undefined
+  const seconds = BACK_PRESSURE_STATUSES.has(status)
+    ? readDecimal(headers['retry-after'] ?? '')
+    : undefined
   return seconds === undefined ? undefined : seconds * 1_000
 }
 
--- a/packages/box/src/requests/suspectRequest.ts
+++ b/packages/box/src/requests/suspectRequest.ts
@@ -1,5 +1,5 @@
 import { createHmac } from 'node:crypto'
-import { UNSUSPECTED, type Milliseconds, type SuspicionAtSend } from '@yewkeel/decisions'
+import { NO_SUSPICION, type Milliseconds, type SuspicionAtSend } from '@yewkeel/decisions'
 import type { CrashSuspects } from '../tasks/crashSuspects.js'
 import type { RequestContent } from '../tasks/recentAnswers.js'
 import type { Trial } from '../tasks/suspectTable.js'
@@ -46,7 +46,7 @@
   }
 
   /** The digest if it was computed before, else undefined. For log lines. */
-  get knownDigest(): string | undefined {
+  get computedDigest(): string | undefined {
     return this.#digest
   }
 
@@ -57,7 +57,7 @@
 
   get #known(): SuspicionAtSend {
     const { suspects } = this.options
-    return suspects.isEmpty ? UNSUSPECTED : suspects.find(this.digest)
+    return suspects.isEmpty ? NO_SUSPICION : suspects.find(this.digest)
   }
 
   /**
@@ -65,40 +65,40 @@
    * trials at other boxes to end. Resolves with `condemned` if the request is quarantined and with
    * `busy` if another trial is still running at `until`.
    */
-  async awaitTurn(until: Milliseconds): Promise<'busy' | 'condemned' | 'may-run'> {
+  async waitForAdmission(until: Milliseconds): Promise<'busy' | 'condemned' | 'may-run'> {
     const { suspects } = this.options
     this.endTrial()
     if (suspects.isEmpty) return 'may-run'
-    const turn = await suspects.takeTurn(this.digest, until)
+    const turn = await suspects.waitForAdmission(this.digest, until)
     if (turn.type === 'trial') this.#trial = turn.trial
     return turn.type === 'free' || turn.type === 'trial' ? 'may-run' : turn.type
   }
 
-  /** Records a send to an upstream process. Pass the result to `noteCrash` if it crashes. */
-  noteSent(upstream: string): SuspectSend {
+  /** Records a send to an upstream process. Pass the result to `recordCrash` if it crashes. */
+  recordSend(upstream: string): SuspectSend {
     const known = this.#known
-    if (this.#trial) this.options.suspects.noteSent(this.digest, this.#trial, upstream)
+    if (this.#trial) this.options.suspects.recordSend(this.digest, this.#trial, upstream)
     return { upstream, known }
   }
 
   /** Records an answer that was received to its end, which clears the request of suspicion. */
-  noteWhole(): void {
+  recordCompleteAnswer(): void {
     const { suspects, content } = this.options
-    suspects.answers.note(content)
-    if (!suspects.isEmpty) suspects.noteWhole(this.digest)
+    suspects.answers.record(content)
+    if (!suspects.isEmpty) suspects.recordCompleteAnswer(this.digest)
   }
 
   /** Records that the upstream process crashed while the request was in flight. */
-  noteCrash({ upstream, known }: SuspectSend): void {
+  recordCrash({ upstream, known }: SuspectSend): void {
     const { suspects, content, service, organisation, route } = this.options
-    suspects.noteCrash({
+    suspects.recordCrash({
       request: this.digest,
       atSend: known,
       upstream,
       service,
       organisation,
       route,
-      hasAnswered: suspects.answers.has(content),
+      wasAnsweredRecently: suspects.answers.has(content),
     })
   }
 
--- a/packages/box/src/requests/suspectSends.ts
+++ b/packages/box/src/requests/suspectSends.ts
@@ -40,8 +40,8 @@
   }
 
   /** Waits until the request may be sent. Returns a refusal if quarantined or at the deadline. */
-  async awaitTurn(deadline: Milliseconds): Promise<Refusal | undefined> {
-    const turn = await this.#suspect.awaitTurn(deadline)
+  async waitForAdmission(deadline: Milliseconds): Promise<Refusal | undefined> {
+    const turn = await this.#suspect.waitForAdmission(deadline)
     if (turn === 'condemned')
       return refuseMayHaveRun(
         'ends-upstreams',
@@ -57,11 +57,11 @@
   }
 
   recordSend(view: UpstreamView): SuspectSend {
-    return this.#suspect.noteSent(view.id)
+    return this.#suspect.recordSend(view.id)
   }
 
   recordEnd(view: UpstreamView, send: SuspectSend, ended: AnswerEnd): void {
-    if (ended === 'whole') this.#suspect.noteWhole()
+    if (ended === 'whole') this.#suspect.recordCompleteAnswer()
     if (ended === 'broken')
       this.crashChecked = this.#checkCrash(view, send).finally(() => this.endTrial())
     else this.endTrial()
@@ -81,7 +81,7 @@
       if (error.sent !== 'no') return
       const request = this.#suspect.digest
       log.warn({ upstream: view.id, request }, 'upstream crashed while it ran a request')
-      this.#suspect.noteCrash(send)
+      this.#suspect.recordCrash(send)
     }
   }
 }
--- a/packages/box/src/tasks/allowanceTask.ts
+++ b/packages/box/src/tasks/allowanceTask.ts
@@ -3,7 +3,7 @@
   createRateBucket,
   dayOf,
   grantOf,
-  leftOf,
+  availableAmount,
   reserve,
   settle,
   shareOfLimit,
@@ -33,7 +33,7 @@
 export type Reservation = 'reserved' | 'exhausted' | 'store-out'
 
 /** Millionths in one unit of the currency. */
-export const MILLIONTHS = 1_000_000
+export const MICROS_PER_CURRENCY_UNIT = 1_000_000
 const MAX_WRITE_ATTEMPTS = 4
 const DEMAND_TIME_CONSTANT: Milliseconds = 2_000
 
@@ -54,7 +54,7 @@
   constructor(private readonly options: AllowanceTaskOptions) {}
 
   /** Takes a token from the organisation's rate limit; false if the limit is reached. */
-  takeRequest(organisation: string, limit: LimitRow): boolean {
+  takeRateToken(organisation: string, limit: LimitRow): boolean {
     const now = this.options.clock.now()
     this.#recordDemand(organisation, now)
     const perSecond = limit.requestsPerSecond
@@ -70,7 +70,7 @@
   /** Reserves a request's maximum cost, in millionths; draws from the store if too little is left. */
   async reserve(organisation: string, limit: LimitRow, amount: number): Promise<Reservation> {
     if (limit.spendPerDay === undefined) return 'reserved'
-    const dayLimit = limit.spendPerDay * MILLIONTHS
+    const dayLimit = limit.spendPerDay * MICROS_PER_CURRENCY_UNIT
     const allowance = this.#allowanceOf(organisation)
     if (reserve(allowance, amount)) {
       // Draws in the background, so that later requests need not wait for the store.
@@ -92,9 +92,9 @@
   }
 
   /** Returns unspent amounts to the store on a graceful shutdown. */
-  async giveBack(): Promise<void> {
+  async returnUnspent(): Promise<void> {
     for (const [organisation, allowance] of this.#allowances) {
-      const unspent = leftOf(allowance)
+      const unspent = availableAmount(allowance)
       if (unspent > 0)
         await this.#updateSpendRow(organisation, allowance.day, row => ({
           drawn: row.drawn - unspent,
--- a/packages/box/src/tasks/billTask.ts
+++ b/packages/box/src/tasks/billTask.ts
@@ -94,7 +94,7 @@
   }
 
   /** Number of this box's bills that are not in the store yet. */
-  get unwritten(): number {
+  get unwrittenCount(): number {
     return this.#state.own.size
   }
 
--- a/packages/box/src/tasks/crashSuspects.ts
+++ b/packages/box/src/tasks/crashSuspects.ts
@@ -1,17 +1,17 @@
 import {
-  MOST_EXCUSED,
+  MAX_EXCUSED_CRASHES,
   mergeSuspicion,
-  noteCrashUnder,
-  noteWholeAnswer,
+  recordCrash,
+  recordCompletion,
   sleep,
-  UNSUSPECTED,
+  NO_SUSPICION,
   type Clock,
   type Milliseconds,
   type Random,
   type Suspicion,
   type SuspicionAtSend,
 } from '@yewkeel/decisions'
-import type { CondemnedEntry, SuspectNews, ToldTrial } from '../types/suspects.js'
+import type { QuarantineEntry, SuspectUpdate, ReportedTrial } from '../types/suspects.js'
 import { RecentAnswers } from './recentAnswers.js'
 import { RecentCrashes } from './recentCrashes.js'
 import { SuspectTable, type Suspect, type Trial } from './suspectTable.js'
@@ -28,7 +28,7 @@
   organisation?: string | undefined
   route: string
   /** The same request was answered completely at this box recently. */
-  hasAnswered: boolean
+  wasAnsweredRecently: boolean
 }
 
 /** Whether a request may be sent to an upstream now. */
@@ -47,13 +47,13 @@
   clock: Clock
   random: Random
   /** Writes a log line. */
-  note(event: string, fields: object): void
+  log(event: string, fields: object): void
   /** Sends updates to the other boxes. */
-  tell(news: readonly SuspectNews[]): void
+  broadcast(news: readonly SuspectUpdate[]): void
   /** Whether the boxes form a full mesh, in which each receives an update once. */
-  isMesh(): boolean
+  isFullMesh(): boolean
   /** Called when a crash at this box quarantines a request. */
-  onCondemned(entry: CondemnedEntry): void
+  onQuarantined(entry: QuarantineEntry): void
 }
 
 /** Crashes come sooner after the send, so others need not wait for a trial that takes longer. */
@@ -66,14 +66,14 @@
 /** Maximum random delay of an excused suspect, which separates it from other suspects. */
 const MAX_EXCUSED_DELAY: Milliseconds = 400
 /** From this number of crashes on, a suspect's trial reserves its upstream. */
-export const ALONE_FROM = 2
+export const MIN_CRASHES_FOR_RESERVATION = 2
 /** Newest crashed processes that are listed in the log and the store. */
 const MAX_REPORTED_UPSTREAMS = 5
 /** States of a trial in chronological order. */
-const TRIAL_STATE_ORDER: ToldTrial['state'][] = ['claimed', 'sent', 'over']
+const TRIAL_STATE_ORDER: ReportedTrial['state'][] = ['claimed', 'sent', 'over']
 
 /** Number of trials by upstream process, and whether the process is reserved for them. */
-export type TrialsAt = ReadonlyMap<string, { count: number; isReserved: boolean }>
+export type TrialsByUpstream = ReadonlyMap<string, { count: number; isReserved: boolean }>
 
 /**
  * Finds the requests that crash upstream processes, jointly with the other boxes, and quarantines
@@ -81,7 +81,7 @@
  *
  * A crash makes suspects of all requests in flight at the process; a complete answer clears a
  * request. A suspect is on trial at one box at a time and apart from other suspects. From
- * `ALONE_FROM` crashes on its upstream is reserved for it, so that another crash identifies the
+ * `MIN_CRASHES_FOR_RESERVATION` crashes on its upstream is reserved for it, so that another crash identifies the
  * cause.
  */
 export class CrashSuspects {
@@ -106,20 +106,20 @@
 
   /** A copy of a request's suspicion, to pass as `atSend` if a process crashes under it. */
   find(request: string): Suspicion {
-    const { epoch, crashes, excused, isCondemned } = this.#suspects.find(request) ?? UNSUSPECTED
+    const { epoch, crashes, excused, isCondemned } = this.#suspects.find(request) ?? NO_SUSPICION
     return { epoch, crashes, excused, isCondemned }
   }
 
   /** Waits until a request may be sent to an upstream, until `until` at most. */
-  async takeTurn(request: string, until: Milliseconds): Promise<Admission> {
+  async waitForAdmission(request: string, until: Milliseconds): Promise<Admission> {
     const { clock } = this.options
     for (;;) {
       const suspect = this.#suspects.find(request)
       if (!suspect || suspect.crashes === 0) return { type: 'free' }
       if (suspect.isCondemned) return { type: 'condemned' }
       const trial = this.#activeTrial(suspect)
-      if (suspect.isFree) return { type: 'free' }
-      if (!trial && clock.now() >= suspect.heldUntil) {
+      if (suspect.hasPassedTrial) return { type: 'free' }
+      if (!trial && clock.now() >= suspect.noTrialBefore) {
         const own = this.#claimTrial(suspect, TRIAL_TIMEOUT)
         this.#broadcast(suspect)
         await sleep(clock, CLAIM_SETTLE_DELAY)
@@ -135,7 +135,7 @@
   #claimTrial(suspect: Suspect, timeout: Milliseconds): Trial {
     const { clock, holder } = this.options
     const until = clock.now() + timeout
-    const trial: Trial = { holder, number: ++this.#trialCount, state: 'claimed', until }
+    const trial: Trial = { holder, number: ++this.#trialCount, state: 'claimed', expiresAt: until }
     this.#setTrial(suspect, trial)
     return trial
   }
@@ -146,12 +146,12 @@
   }
 
   /** Records that a suspect on trial was sent to an upstream process. */
-  noteSent(request: string, trial: Trial, upstream: string): void {
+  recordSend(request: string, trial: Trial, upstream: string): void {
     const suspect = this.#suspects.find(request)
     if (suspect?.trial !== trial) return
     trial.state = 'sent'
     trial.upstream = upstream
-    trial.until = this.options.clock.now() + TRIAL_TIMEOUT
+    trial.expiresAt = this.options.clock.now() + TRIAL_TIMEOUT
     this.#broadcast(suspect)
   }
 
@@ -165,22 +165,22 @@
   }
 
   /** Clears a request that was answered completely. */
-  noteWhole(request: string): void {
+  recordCompleteAnswer(request: string): void {
     const suspect = this.#suspects.find(request)
     if (!suspect || suspect.crashes === 0) return
-    if (suspect.isCondemned) this.options.note('request-cleared', { request })
-    this.#suspects.change(suspect, noteWholeAnswer(suspect))
+    if (suspect.isCondemned) this.options.log('request-cleared', { request })
+    this.#suspects.update(suspect, recordCompletion(suspect))
     this.#broadcast(suspect)
   }
 
   /** Records the crash of an upstream process with a request in flight. */
-  noteCrash(crash: RequestCrash): void {
-    const { request, upstream, service, atSend, hasAnswered } = crash
+  recordCrash(crash: RequestCrash): void {
+    const { request, upstream, service, atSend, wasAnsweredRecently } = crash
     const { clock } = this.options
-    this.#crashes.note(upstream, service, request, atSend.crashes > 0)
+    this.#crashes.record(upstream, service, request, atSend.crashes > 0)
     // A popular request is in flight at most processes that crash; its recent answer clears it.
-    if (hasAnswered) return
-    const suspect = this.#suspects.findOrAdd(request, { ...UNSUSPECTED, ...atSend })
+    if (wasAnsweredRecently) return
+    const suspect = this.#suspects.findOrAdd(request, { ...NO_SUSPICION, ...atSend })
     suspect.upstreams = [...suspect.upstreams, upstream].slice(-MAX_REPORTED_UPSTREAMS)
     if (atSend.crashes === 0) {
       this.#countCrash(suspect, crash, false)
@@ -197,24 +197,24 @@
 
   /** Broadcasts a first crash unless many upstreams crashed simultaneously without the request. */
   #broadcastFirstCrash(suspect: Suspect, { request, upstream, service }: RequestCrash): void {
-    if (suspect.isKnown || suspect.crashes !== 1) return
-    if (this.#crashes.isOneOfMany(upstream, request)) return
-    suspect.isKnown = true
+    if (suspect.isShared || suspect.crashes !== 1) return
+    if (this.#crashes.isSimultaneousCrash(upstream, request)) return
+    suspect.isShared = true
     this.#broadcast(suspect, { upstream, service, wasSuspect: false })
   }
 
   #isExcused({ excused }: Suspect, { request, upstream }: RequestCrash): boolean {
-    return excused < MOST_EXCUSED && this.#crashes.isOneOfMany(upstream, request)
+    return excused < MAX_EXCUSED_CRASHES && this.#crashes.isSimultaneousCrash(upstream, request)
   }
 
   #countCrash(suspect: Suspect, crash: RequestCrash, isExcused: boolean): void {
     const { request, upstream, service, atSend } = crash
-    const next = noteCrashUnder(suspect, atSend, isExcused)
+    const next = recordCrash(suspect, atSend, isExcused)
     if (next === suspect) return
-    this.#suspects.change(suspect, next)
+    this.#suspects.update(suspect, next)
     if (isExcused) {
-      this.options.note('suspect-excused', { request, upstream, excused: suspect.excused })
-      suspect.heldUntil = this.options.clock.now() + this.options.random() * MAX_EXCUSED_DELAY
+      this.options.log('suspect-excused', { request, upstream, excused: suspect.excused })
+      suspect.noTrialBefore = this.options.clock.now() + this.options.random() * MAX_EXCUSED_DELAY
     }
     this.#broadcast(suspect, { upstream, service, wasSuspect: atSend.crashes > 0 })
     if (suspect.isCondemned) this.#reportQuarantine(suspect, crash)
@@ -224,47 +224,48 @@
     { request, crashes, upstreams }: Suspect,
     { organisation, route }: RequestCrash,
   ): void {
-    const { note, onCondemned } = this.options
-    note('request-condemned', { request, organisation, route, crashes, upstreams })
-    onCondemned({ request, crashes, ...(organisation && { organisation }), route, upstreams })
+    const { log, onQuarantined } = this.options
+    log('request-condemned', { request, organisation, route, crashes, upstreams })
+    onQuarantined({ request, crashes, ...(organisation && { organisation }), route, upstreams })
   }
 
   /** Adds stored quarantined requests and sends those that are new here to the other boxes. */
-  takeCondemned(entries: readonly CondemnedEntry[]): void {
+  addQuarantined(entries: readonly QuarantineEntry[]): void {
     const news = entries.map(({ request, crashes }) => ({
-      ...UNSUSPECTED,
+      ...NO_SUSPICION,
       request,
       crashes,
       isCondemned: true,
     }))
-    this.options.tell(this.take(news))
+    this.options.broadcast(this.merge(news))
   }
 
   /** Merges updates of another box. Returns those that changed anything, to be relayed. */
-  take(news: readonly SuspectNews[]): SuspectNews[] {
+  merge(news: readonly SuspectUpdate[]): SuspectUpdate[] {
     return news.filter(update => this.#mergeUpdate(update))
   }
 
-  #mergeUpdate(update: SuspectNews): boolean {
+  #mergeUpdate(update: SuspectUpdate): boolean {
     const { request, epoch, crashes, excused, isCondemned, trial, crashed } = update
-    if (crashed) this.#crashes.note(crashed.upstream, crashed.service, request, crashed.wasSuspect)
+    if (crashed)
+      this.#crashes.record(crashed.upstream, crashed.service, request, crashed.wasSuspect)
     const suspect = this.#suspects.findOrAdd(request)
     const next = mergeSuspicion(suspect, { epoch, crashes, excused, isCondemned })
     const isNews = next !== suspect
     if (isNews) {
-      this.#suspects.change(suspect, next)
-      if (isCondemned) this.options.note('request-condemned', { request, crashes, told: true })
+      this.#suspects.update(suspect, next)
+      if (isCondemned) this.options.log('request-condemned', { request, crashes, told: true })
     }
-    suspect.isKnown = true
+    suspect.isShared = true
     const isSame = suspect.epoch === epoch && suspect.crashes === crashes
     return (isSame && trial !== undefined && this.#mergeTrial(suspect, trial)) || isNews
   }
 
   /** Merges a trial of another box. Returns whether it is newer than the known state. */
-  #mergeTrial(suspect: Suspect, update: ToldTrial): boolean {
+  #mergeTrial(suspect: Suspect, update: ReportedTrial): boolean {
     if (update.holder === this.options.holder) return false
-    if (!isLater(update, suspect.told.get(update.holder))) return false
-    suspect.told.set(update.holder, update)
+    if (!isLater(update, suspect.reportedTrials.get(update.holder))) return false
+    suspect.reportedTrials.set(update.holder, update)
     const trial = this.#activeTrial(suspect)
     if (update.state === 'over') {
       if (trial?.holder === update.holder) suspect.trial = undefined
@@ -273,18 +274,18 @@
     // Of concurrent claims the lower holder id wins; a trial that was already sent continues.
     const isFirst = !trial || trial.holder === update.holder || update.holder < trial.holder
     if (trial?.state === 'sent' || !isFirst) return true
-    this.#setTrial(suspect, { ...update, until: this.options.clock.now() + TRIAL_TIMEOUT })
+    this.#setTrial(suspect, { ...update, expiresAt: this.options.clock.now() + TRIAL_TIMEOUT })
     return true
   }
 
   /** All shared suspects, for a newly connected box. */
-  all(): SuspectNews[] {
-    const known = this.#suspects.all().filter(({ crashes, isKnown }) => crashes > 0 && isKnown)
+  updates(): SuspectUpdate[] {
+    const known = this.#suspects.all().filter(({ crashes, isShared }) => crashes > 0 && isShared)
     return known.map(toUpdate)
   }
 
   /** Current trials by upstream process. */
-  trialsAt(): TrialsAt {
+  trialsAt(): TrialsByUpstream {
     const trials = new Map<string, { count: number; isReserved: boolean }>()
     for (const suspect of this.#suspectsOnTrial) {
       const trial = this.#activeTrial(suspect)
@@ -293,23 +294,23 @@
       if (upstream === undefined) continue
       const at = trials.get(upstream) ?? { count: 0, isReserved: false }
       at.count++
-      at.isReserved ||= suspect.crashes >= ALONE_FROM
+      at.isReserved ||= suspect.crashes >= MIN_CRASHES_FOR_RESERVATION
       trials.set(upstream, at)
     }
     return trials
   }
 
   /** Removes expired entries. Returns the quarantined requests among them. */
-  forgetLapsed(): string[] {
-    return this.#suspects.takeLapsed()
+  removeExpired(): string[] {
+    return this.#suspects.takeExpiredQuarantines()
   }
 
   /** The current trial. After a sent one times out, the request needs none until its next crash. */
   #activeTrial(suspect: Suspect): Trial | undefined {
     const { trial } = suspect
-    if (!trial || this.options.clock.now() < trial.until) return trial
+    if (!trial || this.options.clock.now() < trial.expiresAt) return trial
     suspect.trial = undefined
-    if (trial.state === 'sent') suspect.isFree = true
+    if (trial.state === 'sent') suspect.hasPassedTrial = true
     return undefined
   }
 
@@ -318,21 +319,24 @@
    * neighbours, so a suspect with one crash is not sent until it is shared: a mass crash would
    * flood the links.
    */
-  #broadcast(suspect: Suspect, crashed?: SuspectNews['crashed']): void {
-    const isShared = this.options.isMesh() || suspect.isKnown || suspect.crashes >= ALONE_FROM
+  #broadcast(suspect: Suspect, crashed?: SuspectUpdate['crashed']): void {
+    const isShared =
+      this.options.isFullMesh() ||
+      suspect.isShared ||
+      suspect.crashes >= MIN_CRASHES_FOR_RESERVATION
     if (!isShared) return
-    suspect.isKnown = true
-    this.options.tell([{ ...toUpdate(suspect), ...(crashed && { crashed }) }])
+    suspect.isShared = true
+    this.options.broadcast([{ ...toUpdate(suspect), ...(crashed && { crashed }) }])
   }
 }
 
 /** Whether an update is about a later trial of the holder, or a later state of the same trial. */
-function isLater(update: ToldTrial, known: ToldTrial | undefined): boolean {
+function isLater(update: ReportedTrial, known: ReportedTrial | undefined): boolean {
   if (!known || update.number !== known.number) return !known || update.number > known.number
   return TRIAL_STATE_ORDER.indexOf(update.state) > TRIAL_STATE_ORDER.indexOf(known.state)
 }
 
-function toUpdate(suspect: Suspect): SuspectNews {
+function toUpdate(suspect: Suspect): SuspectUpdate {
   const { request, epoch, crashes, excused, isCondemned, trial } = suspect
   const trialUpdate = trial && {
     holder: trial.holder,
--- a/packages/box/src/tasks/exposureTask.ts
+++ b/packages/box/src/tasks/exposureTask.ts
@@ -3,7 +3,7 @@
   blockOf,
   createEvidenceStore,
   evidenceOf,
-  foldOldEvidence,
+  mergeOldBlocks,
   formatVersion,
   HALT_PREFIX,
   haltKey,
@@ -14,7 +14,7 @@
   mergeHalt,
   ownEvidenceSince,
   proposeHalt,
-  rampStateOf,
+  countRatings,
   totalEvidence,
   type Clock,
   type EvidenceCounter,
@@ -23,7 +23,7 @@
   type Halts,
   type Milliseconds,
   type TableService,
-  type VersionBounds,
+  type VersionConstraints,
   type VersionJudgement,
   type VoterId,
 } from '@yewkeel/decisions'
@@ -38,7 +38,7 @@
   version: string
   bucket?: number
   /** Probability of a good answer that the cascade's plan expected, from 0 to 1. */
-  promised?: number
+  predictedQuality?: number
 }
 
 export interface ExposureTaskOptions {
@@ -67,7 +67,7 @@
  * Collects ratings by version, exchanges them with the other boxes and halts versions that rate
  * worse.
  */
-export class ExposureTask implements VersionBounds {
+export class ExposureTask implements VersionConstraints {
   readonly #evidence
   readonly #halts: Halts = new Map()
   readonly #unsavedHalts = new Map<string, Halt>()
@@ -104,7 +104,7 @@
 
   /** This box's share of the answers that a version may still give before more ratings arrive. */
   roomOf(version: string): number {
-    const room = this.#judgements.get(version)?.room ?? Infinity
+    const room = this.#judgements.get(version)?.headroom ?? Infinity
     const share = room / Math.max(1, this.options.boxCount())
     return Math.ceil(share) - (this.#servedSinceJudgement.get(version) ?? 0)
   }
@@ -123,11 +123,11 @@
 
   /** Answers that a version gave, and how many of them were rated, over all boxes. */
   countsOf(version: string): { served: number; rated: number } {
-    return rampStateOf(evidenceOf(this.#totals, this.#halts, version))
+    return countRatings(evidenceOf(this.#totals, this.#halts, version))
   }
 
   /** Counts an answer and keeps it until it is rated; beyond a limit the oldest are dropped. */
-  noteServed(requestId: string, answer: ServedAnswer): void {
+  recordAnswer(requestId: string, answer: ServedAnswer): void {
     const version = formatVersion(answer)
     this.#unratedAnswers.set(requestId, answer)
     this.#servedSinceJudgement.set(version, (this.#servedSinceJudgement.get(version) ?? 0) + 1)
@@ -157,12 +157,12 @@
   }
 
   /** Sends a newly connected peer all evidence again. */
-  resetPeer(peer: VoterId): void {
+  forgetSent(peer: VoterId): void {
     this.#lastSentChange.delete(peer)
   }
 
   /** Merges the evidence and halts of another box. */
-  hear(evidence: readonly EvidenceCounter[], halts: readonly Halt[]): void {
+  merge(evidence: readonly EvidenceCounter[], halts: readonly Halt[]): void {
     mergeEvidence(this.#evidence, evidence)
     for (const halt of halts) this.#applyHalt(halt)
   }
@@ -170,14 +170,14 @@
   /** Compares the competing versions and halts those that the evidence shows to be worse. */
   judge(): void {
     const { clock, competingVersions, log, metrics } = this.options
-    foldOldEvidence(this.#evidence, blockOf(clock.wallTime()))
+    mergeOldBlocks(this.#evidence, blockOf(clock.wallTime()))
     this.#totals = totalEvidence(this.#evidence)
     this.#judgements.clear()
     this.#servedSinceJudgement.clear()
     for (const versions of competingVersions()) {
       for (const judgement of judgeVersions(this.#totals, this.#halts, versions)) {
         this.#judgements.set(judgement.version, judgement)
-        if (!judgement.shownWorse) continue
+        if (!judgement.isWorse) continue
         const halt = proposeHalt(this.#halts, judgement.version, 'ratings show it to be worse')
         if (!halt) continue
         log.warn(
--- a/packages/box/src/tasks/membershipTask.ts
+++ b/packages/box/src/tasks/membershipTask.ts
@@ -86,12 +86,12 @@
 
   /** Stops and announces it, so that the other boxes need not wait for a timeout. */
   stop(): void {
-    this.halt()
+    this.abort()
     this.sendToAll({ type: 'goodbye' })
   }
 
   /** Stops without announcing it, as in a crash. */
-  halt(): void {
+  abort(): void {
     this.#timer?.cancel()
   }
 
@@ -114,7 +114,7 @@
   }
 
   /** Sets the names of the boxes that the platform lists. */
-  setListed(names: ReadonlySet<string>): void {
+  setListedBoxes(names: ReadonlySet<string>): void {
     this.#listed = names
   }
 
--- a/packages/box/src/tasks/placementTask.ts
+++ b/packages/box/src/tasks/placementTask.ts
@@ -104,7 +104,7 @@
   }
 
   /** Receives the engines that a peer, as lease holder, drains. */
-  hear(from: VoterId, emptying: readonly string[]): void {
+  setPeerEmptying(from: VoterId, emptying: readonly string[]): void {
     if (emptying.length > 0) this.#emptyingByPeer.set(from, emptying)
     else this.#emptyingByPeer.delete(from)
     this.#applyEmptying()
@@ -160,7 +160,7 @@
     const { client, clock, log, upstreams } = this.options
     const view = upstreams.views.get(step.engine)
     if (!view || heldFence(this.#lease, clock.now()) !== fence) return
-    const checksFence = upstreams.facts.get(step.engine)?.checksFence ?? false
+    const checksFence = upstreams.engineFacts.get(step.engine)?.checksFence ?? false
     // A delayed unload order can remove a version that is in use again. It is only sent to engines
     // that check the fence, or that have been emptied for longer than a lease takes to lapse.
     if (step.unload && !checksFence && !this.#isEmptiedPastLease(step.engine)) return
@@ -198,7 +198,7 @@
   }
 
   #placedEngine(view: UpstreamView, now: Milliseconds): PlacedEngine {
-    const facts = this.options.upstreams.facts.get(view.id)
+    const facts = this.options.upstreams.engineFacts.get(view.id)
     const emptying = this.#state.emptying.includes(view.id)
     const since = this.#emptyingSince.get(view.id) ?? now
     // Boxes that have not received the change yet may still send requests.
@@ -207,11 +207,11 @@
     return {
       id: view.id,
       serves: [...view.serves],
-      room: facts?.room ?? 1,
+      capacity: facts?.room ?? 1,
       inFlight,
       checksFence: facts?.checksFence ?? false,
       ...(facts?.loading && { loading: facts.loading }),
-      emptying,
+      isDraining: emptying,
     }
   }
 
--- a/packages/box/src/tasks/proposalWriter.ts
+++ b/packages/box/src/tasks/proposalWriter.ts
@@ -101,7 +101,7 @@
   /** Resolves a write with an unknown outcome, retrying while the store is unavailable. */
   async #resolveUnknown(id: string): Promise<ChangeOutcome> {
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
-      const outcome = await this.fence(id)
+      const outcome = await this.resolveOutcome(id)
       if (outcome) return outcome
       await sleep(this.clock, RESOLVE_RETRY_DELAY)
     }
@@ -116,7 +116,7 @@
    * Writes a tombstone for a proposal, so that a delayed write of it fails, or returns its outcome
    * if it already has one. Undefined while the store is unavailable.
    */
-  async fence(id: string): Promise<ChangeOutcome | undefined> {
+  async resolveOutcome(id: string): Promise<ChangeOutcome | undefined> {
     const key = TABLE_KEYS.changeId(id)
     const written = await this.table.commit({
       conditions: [{ key, version: 0 }],
--- a/packages/box/src/tasks/qualityTask.ts
+++ b/packages/box/src/tasks/qualityTask.ts
@@ -2,11 +2,11 @@
   bucketOf,
   correctedTarget,
   countsOf,
-  createPromiseCheck,
+  createQualityCalibration,
   DELAY_PRICES,
-  noteAnswer,
-  notePromise,
-  noteRating,
+  countAnswer,
+  recordPrediction,
+  countRating,
   planCascade,
   ratedCount,
   resolveBuckets,
@@ -15,10 +15,10 @@
   type Clock,
   type LimitRow,
   type Milliseconds,
-  type PromiseCheck,
+  type QualityCalibration,
   type QualityEstimates,
   type Random,
-  type StageOutlook,
+  type StageEstimate,
 } from '@yewkeel/decisions'
 import type { ServedAnswer } from './exposureTask.js'
 
@@ -88,7 +88,7 @@
 export class QualityTask {
   readonly #estimates: QualityEstimates = new Map()
   /** Corrects the bias of the quality estimates, and like them is shared by all organisations. */
-  readonly #promiseCheck: PromiseCheck = createPromiseCheck()
+  readonly #promiseCheck: QualityCalibration = createQualityCalibration()
   readonly #organisations = new Map<string, OrganisationState>()
 
   constructor(private readonly options: QualityTaskOptions) {}
@@ -119,16 +119,17 @@
   }
 
   /** Records an answer and returns its confidence bucket. */
-  noteAnswer(kind: string, model: string, confidence: number): number {
+  recordAnswer(kind: string, model: string, confidence: number): number {
     const bucket = bucketOf(confidence)
-    noteAnswer(countsOf(this.#estimates, kind, model), bucket, this.options.clock.now())
+    countAnswer(countsOf(this.#estimates, kind, model), bucket, this.options.clock.now())
     return bucket
   }
 
-  noteRating(answer: ServedAnswer, good: boolean): void {
-    if (answer.promised !== undefined) notePromise(this.#promiseCheck, answer.promised, good)
+  recordRating(answer: ServedAnswer, good: boolean): void {
+    if (answer.predictedQuality !== undefined)
+      recordPrediction(this.#promiseCheck, answer.predictedQuality, good)
     const counts = countsOf(this.#estimates, answer.kind, answer.model)
-    noteRating(counts, answer.bucket, good, this.options.clock.now())
+    countRating(counts, answer.bucket, good, this.options.clock.now())
   }
 
   #refreshPlan(state: OrganisationState, kind: RequestKind, limit: LimitRow): void {
@@ -151,7 +152,7 @@
   }
 
   #outlookOf({ name, stages, mayWait }: RequestKind, limit: LimitRow) {
-    const outlooks: StageOutlook[] = stages.map(stage => ({
+    const outlooks: StageEstimate[] = stages.map(stage => ({
       ...stage,
       buckets: resolveBuckets(countsOf(this.#estimates, name, stage.model)),
     }))
--- a/packages/box/src/tasks/recentAnswers.ts
+++ b/packages/box/src/tasks/recentAnswers.ts
@@ -28,7 +28,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  note({ name, body }: RequestContent): void {
+  record({ name, body }: RequestContent): void {
     const key = keyOf(name, body)
     this.#remove(key)
     this.#answered.set(key, { name, body, at: this.clock.now() })
--- a/packages/box/src/tasks/recentCrashes.ts
+++ b/packages/box/src/tasks/recentCrashes.ts
@@ -26,7 +26,7 @@
   constructor(private readonly clock: Clock) {}
 
   /** `upstream`: the crashed process. `wasSuspect`: `request` was in flight at an earlier crash. */
-  note(upstream: string, service: string, request: string, wasSuspect: boolean): void {
+  record(upstream: string, service: string, request: string, wasSuspect: boolean): void {
     const now = this.clock.now()
     for (const [id, { at }] of this.#crashes) if (now - at > CRASH_TTL) this.#crashes.delete(id)
     const crash = this.#crashes.get(upstream) ?? {
@@ -41,7 +41,7 @@
   }
 
   /** Whether several upstreams of the service crashed simultaneously without the request. */
-  isOneOfMany(upstream: string, request: string): boolean {
+  isSimultaneousCrash(upstream: string, request: string): boolean {
     const own = this.#crashes.get(upstream)
     if (!own) return false
     const others = [...this.#crashes.values()].filter(
--- a/packages/box/src/tasks/suspectTable.ts
+++ b/packages/box/src/tasks/suspectTable.ts
@@ -1,10 +1,10 @@
-import { UNSUSPECTED, type Clock, type Milliseconds, type Suspicion } from '@yewkeel/decisions'
-import type { ToldTrial } from '../types/suspects.js'
+import { NO_SUSPICION, type Clock, type Milliseconds, type Suspicion } from '@yewkeel/decisions'
+import type { ReportedTrial } from '../types/suspects.js'
 
 /** One trial of a suspect request, at this box or another. */
-export interface Trial extends ToldTrial {
+export interface Trial extends ReportedTrial {
   /** When it expires, since its holder may have crashed. */
-  until: Milliseconds
+  expiresAt: Milliseconds
 }
 
 /** A request that was in flight at an upstream when its process crashed. */
@@ -14,13 +14,13 @@
   changedAt: Milliseconds
   trial?: Trial | undefined
   /** A sent trial expired without another crash: no more trials are needed. */
-  isFree: boolean
+  hasPassedTrial: boolean
   /** Earliest time of its next trial. */
-  heldUntil: Milliseconds
+  noTrialBefore: Milliseconds
   /** Newest trial reported by each holder. */
-  told: Map<string, ToldTrial>
+  reportedTrials: Map<string, ReportedTrial>
   /** Shared with other boxes. */
-  isKnown: boolean
+  isShared: boolean
   /** The latest upstream processes that crashed with it in flight. */
   upstreams: string[]
 }
@@ -29,14 +29,14 @@
 const CLEARED_TTL: Milliseconds = 30_000
 const SUSPECT_TTL: Milliseconds = 5 * 60_000
 /** Quarantine ends after this, and the request is tried again: upstreams may have been fixed. */
-export const CONDEMNED_FOR: Milliseconds = 10 * 60_000
+export const QUARANTINE_TTL: Milliseconds = 10 * 60_000
 /** Beyond this the least recently changed are evicted, quarantined ones last. */
-export const MOST_SUSPECTS = 2_000
+export const MAX_SUSPECTS = 2_000
 
 /** Suspect, cleared and quarantined requests, by time of last change. Bounded in size and age. */
 export class SuspectTable {
   readonly #suspects = new Map<string, Suspect>()
-  /** Requests whose quarantine has expired, until `takeLapsed` returns them. */
+  /** Requests whose quarantine has expired, until `takeExpiredQuarantines` returns them. */
   #expiredQuarantines: string[] = []
 
   constructor(private readonly clock: Clock) {}
@@ -59,18 +59,18 @@
   }
 
   /** `suspicion`: state of a new entry. */
-  findOrAdd(request: string, suspicion: Suspicion = UNSUSPECTED): Suspect {
+  findOrAdd(request: string, suspicion: Suspicion = NO_SUSPICION): Suspect {
     const known = this.find(request)
     if (known) return known
-    if (this.#suspects.size >= MOST_SUSPECTS) this.#evictOldest()
+    if (this.#suspects.size >= MAX_SUSPECTS) this.#evictOldest()
     const suspect: Suspect = {
       ...suspicion,
       request,
       changedAt: this.clock.now(),
-      isFree: false,
-      heldUntil: -Infinity,
-      told: new Map(),
-      isKnown: false,
+      hasPassedTrial: false,
+      noTrialBefore: -Infinity,
+      reportedTrials: new Map(),
+      isShared: false,
       upstreams: [],
     }
     this.#suspects.set(request, suspect)
@@ -78,9 +78,9 @@
   }
 
   /** Updates the suspicion and discards the outcome of earlier trials. */
-  change(suspect: Suspect, { epoch, crashes, excused, isCondemned }: Suspicion): void {
+  update(suspect: Suspect, { epoch, crashes, excused, isCondemned }: Suspicion): void {
     Object.assign(suspect, { epoch, crashes, excused, isCondemned })
-    suspect.isFree = false
+    suspect.hasPassedTrial = false
     suspect.trial = undefined
     suspect.changedAt = this.clock.now()
     this.#suspects.delete(suspect.request)
@@ -88,7 +88,7 @@
   }
 
   /** Removes expired entries. Returns the requests whose quarantine has expired, each once. */
-  takeLapsed(): string[] {
+  takeExpiredQuarantines(): string[] {
     for (const { request } of this.all()) this.find(request)
     const expired = this.#expiredQuarantines
     this.#expiredQuarantines = []
@@ -96,7 +96,7 @@
   }
 
   #isExpired({ changedAt, crashes, isCondemned }: Suspect): boolean {
-    const ttl = isCondemned ? CONDEMNED_FOR : crashes > 0 ? SUSPECT_TTL : CLEARED_TTL
+    const ttl = isCondemned ? QUARANTINE_TTL : crashes > 0 ? SUSPECT_TTL : CLEARED_TTL
     return this.clock.now() - changedAt >= ttl
   }
 
--- a/packages/box/src/tasks/tableTask.ts
+++ b/packages/box/src/tasks/tableTask.ts
@@ -6,7 +6,7 @@
   nextVoterSet,
   resolveFreshness,
   resolveRights,
-  resolveTablesInDoubt,
+  resolvePossibleTables,
   TABLE_KEYS,
   tableTransition,
   VOTERS_KEY,
@@ -134,7 +134,7 @@
     const open = [...this.#state.open.keys()].join('\n')
     const cached = this.#rightsCache
     if (cached && cached.table === table && cached.open === open) return cached.rights
-    const rights = resolveTablesInDoubt(this.#state).map(resolveRights)
+    const rights = resolvePossibleTables(this.#state).map(resolveRights)
     this.#rightsCache = { table, open, rights }
     return rights
   }
@@ -255,7 +255,7 @@
 
   /** Settles a proposal whose proposer has stopped responding. */
   async #settle(proposal: Proposal): Promise<void> {
-    const outcome = await this.#writer.fence(proposal.id)
+    const outcome = await this.#writer.resolveOutcome(proposal.id)
     if (!outcome || outcome.outcome === 'pending') return
     const settled =
       outcome.outcome === 'accepted'
--- a/packages/box/src/tasks/upstreamTask.ts
+++ b/packages/box/src/tasks/upstreamTask.ts
@@ -1,6 +1,6 @@
 import {
   createUpstreamView,
-  noteReport,
+  recordReport,
   predictLoad,
   PrefixMap,
   type Clock,
@@ -59,7 +59,7 @@
 /** Discovers the upstreams and polls what they serve and their load. */
 export class UpstreamTask {
   readonly views = new Map<string, UpstreamView>()
-  readonly facts = new Map<string, EngineFacts>()
+  readonly engineFacts = new Map<string, EngineFacts>()
   readonly prefixes = new PrefixMap()
   readonly #pools = new Map<string, UpstreamView[]>()
   readonly #peerInFlight = new Map<VoterId, readonly [string, number][]>()
@@ -119,7 +119,7 @@
   }
 
   /** Removes `served` from an upstream that answered with another version. */
-  noteLie(view: UpstreamView, served: string): void {
+  recordVersionMismatch(view: UpstreamView, served: string): void {
     this.options.log.warn(
       { upstream: view.id, version: served },
       'the upstream answered with another version than it reports',
@@ -157,7 +157,7 @@
     // The load report of a plain service need not list any versions.
     if (kind === 'service') view.serves.add(serviceOf(name))
     this.views.set(name, view)
-    this.facts.set(name, { room: 1, checksFence })
+    this.engineFacts.set(name, { room: 1, checksFence })
     this.#indexPools()
     return view
   }
@@ -190,7 +190,7 @@
       view.state = 'gone'
       if (view.inFlight > 0) continue
       this.views.delete(name)
-      this.facts.delete(name)
+      this.engineFacts.delete(name)
       this.#lastListedAt.delete(name)
       this.#indexPools()
     }
@@ -208,7 +208,7 @@
       const answer = await client.send(
         view.address,
         { method: 'GET', path: '/load', headers: {} },
-        { answerWithin: REPORT_TIMEOUT },
+        { responseTimeout: REPORT_TIMEOUT },
       )
       const report = JSON.parse(await readText(answer.body)) as LoadReportBody
       this.#applyReport(view, report, askedAt)
@@ -218,14 +218,14 @@
   }
 
   #applyReport(view: UpstreamView, report: LoadReportBody, askedAt: Milliseconds): void {
-    noteReport(view, { at: askedAt, running: report.running, waiting: report.waiting })
+    recordReport(view, { at: askedAt, running: report.running, waiting: report.waiting })
     view.slots = report.slots
     // An upstream reports that it drains before the list does.
     if (report.leaving) view.state = 'leaving'
     if (view.kind === 'service') return
     view.serves = new Set(report.versions)
-    const facts = this.facts.get(view.id)
-    this.facts.set(view.id, {
+    const facts = this.engineFacts.get(view.id)
+    this.engineFacts.set(view.id, {
       checksFence: facts?.checksFence ?? false,
       room: report.room ?? 1,
       ...(report.loading && { loading: report.loading }),
--- a/packages/box/src/types/context.ts
+++ b/packages/box/src/types/context.ts
@@ -45,19 +45,19 @@
   bills: BillTask
   claims: ClaimTask
   upstreams: UpstreamTask
-  uses: PoolUses
+  poolUses: PoolUses
   allowances: AllowanceTask
   exposure: ExposureTask
   quality: QualityTask
   streams: StreamFinder
-  retries: RetryBudget
+  retryBudget: RetryBudget
   /** Requests suspected of crashing upstreams. */
   suspects: CrashSuspects
   strategy: UpstreamStrategyName
   /** Open requests as a fraction of `settings.limits.openRequests`. */
   load(): number
   /** False once the box drains. */
-  takesNewRequests(): boolean
+  acceptsNewRequests(): boolean
 }
 
 /** State of one caller request while it passes through the filters and is dispatched. */
@@ -85,5 +85,5 @@
   served: string
   admission: AdmissionRequest
   /** Whether an attempt that may have run may be retried: false for non-idempotent calls. */
-  mayRepeat: boolean
+  isRetryable: boolean
 }
--- a/packages/box/src/types/peerMessage.ts
+++ b/packages/box/src/types/peerMessage.ts
@@ -10,7 +10,7 @@
   type VoterSet,
 } from '@yewkeel/decisions'
 
-import type { SuspectNews } from './suspects.js'
+import type { SuspectUpdate } from './suspects.js'
 
 /** Identity of a running box. Each restart has a new incarnation. */
 export interface PeerIdentity {
@@ -78,7 +78,7 @@
   | { type: 'release'; requestIds: string[] }
   | { type: 'stream-question'; requestId: string }
   | { type: 'stream-answer'; requestId: string; bill?: Bill }
-  | { type: 'suspects'; entries: SuspectNews[] }
+  | { type: 'suspects'; entries: SuspectUpdate[] }
   | { type: 'goodbye' }
 
 /** Voter id of this incarnation of a box. */
--- a/packages/box/src/types/ports.ts
+++ b/packages/box/src/types/ports.ts
@@ -9,8 +9,8 @@
   constructor(
     readonly sent: Sent,
     message: string,
-    /** The response did not start within `SendLimits.answerWithin`. */
-    readonly late = false,
+    /** The response did not start within `SendLimits.responseTimeout`. */
+    readonly isTimeout = false,
   ) {
     super(message)
   }
@@ -32,17 +32,17 @@
    * it. Waits for a promise that `take` returns, and stops early when it returns `stop`. Rejects
    * when the body is cut off.
    */
-  pump?(take: (chunk: Uint8Array) => TakeOutcome): Promise<void>
+  forEachChunk?(take: (chunk: Uint8Array) => ChunkOutcome): Promise<void>
 }
 
 /** Continue, continue once the promise resolves, or stop reading. */
-export type TakeOutcome = void | Promise<unknown> | 'stop'
+export type ChunkOutcome = void | Promise<unknown> | 'stop'
 
 export interface SendLimits {
   /** Cancels the request. */
   signal?: AbortSignal
   /** Time allowed until the response starts. */
-  answerWithin?: Milliseconds
+  responseTimeout?: Milliseconds
 }
 
 /** Client of engines and services. `send` rejects only with `UpstreamFailure`, never retries. */
--- a/packages/box/src/types/suspects.ts
+++ b/packages/box/src/types/suspects.ts
@@ -4,7 +4,7 @@
  * State of a trial as another box reports it. One box at a time runs a suspect request; the others
  * wait for the outcome.
  */
-export interface ToldTrial {
+export interface ReportedTrial {
   /** Box incarnation that runs the trial. */
   holder: string
   /** Sequence number among the holder's trials; reports with a lower number are stale. */
@@ -15,16 +15,16 @@
 }
 
 /** Update between boxes about a request that was in flight when an upstream process crashed. */
-export interface SuspectNews extends Suspicion {
+export interface SuspectUpdate extends Suspicion {
   /** Digest of the request. */
   request: string
-  trial?: ToldTrial
+  trial?: ReportedTrial
   /** Upstream process that has just crashed with the request in flight. */
   crashed?: { upstream: string; service: string; wasSuspect: boolean }
 }
 
 /** A quarantined request, as stored. */
-export interface CondemnedEntry {
+export interface QuarantineEntry {
   request: string
   crashes: number
   /** Sender, for operators. */
--- a/packages/box/test/crashSuspects.test.ts
+++ b/packages/box/test/crashSuspects.test.ts
@@ -2,19 +2,19 @@
   createSeededRandom,
   ManualClock,
   mergeSuspicion,
-  noteCrashUnder,
-  noteWholeAnswer,
-  UNSUSPECTED,
+  recordCrash,
+  recordCompletion,
+  NO_SUSPICION,
   type Suspicion,
 } from '@yewkeel/decisions'
 import { expect } from 'chai'
 import * as fc from 'fast-check'
 import {
-  CONDEMNED_FOR,
+  QUARANTINE_TTL,
   CrashSuspects,
-  MOST_SUSPECTS,
+  MAX_SUSPECTS,
   RecentAnswers,
-  type SuspectNews,
+  type SuspectUpdate,
 } from '../src/index.js'
 
 interface Box {
@@ -27,18 +27,18 @@
   const boxes: Box[] = []
   for (let at = 0; at < count; at++) {
     const quarantined: string[] = []
-    const tell = (news: readonly SuspectNews[]) => {
+    const tell = (news: readonly SuspectUpdate[]) => {
       for (const other of boxes.filter(({ suspects }) => suspects !== boxes[at]!.suspects))
-        clock.after(delay, () => void other.suspects.take(structuredClone(news)))
+        clock.after(delay, () => void other.suspects.merge(structuredClone(news)))
     }
     const suspects = new CrashSuspects({
       holder: `box-${at}/1`,
       clock,
       random: createSeededRandom(at),
-      note() {},
-      tell,
-      isMesh: () => true,
-      onCondemned: ({ request }) => void quarantined.push(request),
+      log() {},
+      broadcast: tell,
+      isFullMesh: () => true,
+      onQuarantined: ({ request }) => void quarantined.push(request),
     })
     boxes.push({ suspects, quarantined })
   }
@@ -51,7 +51,15 @@
   upstream: string,
   atSend = suspects.find(request),
   hasAnswered = false,
-) => suspects.noteCrash({ request, upstream, service: 'pool', atSend, route: 'chat', hasAnswered })
+) =>
+  suspects.recordCrash({
+    request,
+    upstream,
+    service: 'pool',
+    atSend,
+    route: 'chat',
+    wasAnsweredRecently: hasAnswered,
+  })
 
 describe('CrashSuspects', () => {
   it('counts crashes of copies sent with the same suspicion as one crash', async () => {
@@ -85,7 +93,7 @@
     crash(boxes[0]!, 'good', 'engine-1')
     const before = boxes[0]!.suspects.find('good')
     await clock.advance(20)
-    boxes[1]!.suspects.noteWhole('good')
+    boxes[1]!.suspects.recordCompleteAnswer('good')
     await clock.advance(20)
     crash(boxes[0]!, 'good', 'engine-2', before)
     await clock.advance(300)
@@ -111,9 +119,9 @@
     await clock.advance(20)
     const turns: string[] = []
     for (const [at, { suspects }] of boxes.entries())
-      void suspects.takeTurn('suspect', clock.now() + 5_000).then(turn => {
+      void suspects.waitForAdmission('suspect', clock.now() + 5_000).then(turn => {
         turns.push(`${at} ${turn.type}`)
-        if (turn.type === 'trial') suspects.noteSent('suspect', turn.trial, 'engine-2')
+        if (turn.type === 'trial') suspects.recordSend('suspect', turn.trial, 'engine-2')
       })
     await clock.advance(500)
     expect(turns).to.deep.equal(['0 trial'])
@@ -130,7 +138,7 @@
     for (const round of [1, 2, 3, 4]) {
       await clock.advance(1_000)
       for (const other of [1, 2, 3])
-        crash(box!, `other ${round} ${other}`, `engine-${round}-${other}`, UNSUSPECTED)
+        crash(box!, `other ${round} ${other}`, `engine-${round}-${other}`, NO_SUSPICION)
       crash(box!, 'suspect', `engine-${round}`)
       await clock.advance(300)
       excused.push(box!.suspects.find('suspect').excused)
@@ -142,25 +150,25 @@
   it('keeps a bounded number of suspects and evicts quarantined ones last', () => {
     const clock = new ManualClock()
     const [box] = createBoxes(clock, 1)
-    box!.suspects.takeCondemned([{ request: 'killer', crashes: 3, route: 'chat', upstreams: [] }])
-    for (let at = 0; at < 3 * MOST_SUSPECTS; at++) crash(box!, `request ${at}`, `engine-${at}`)
-    expect(box!.suspects.all().length).to.equal(MOST_SUSPECTS)
+    box!.suspects.addQuarantined([{ request: 'killer', crashes: 3, route: 'chat', upstreams: [] }])
+    for (let at = 0; at < 3 * MAX_SUSPECTS; at++) crash(box!, `request ${at}`, `engine-${at}`)
+    expect(box!.suspects.updates().length).to.equal(MAX_SUSPECTS)
     expect(box!.suspects.find('killer').isCondemned).to.equal(true)
     expect(box!.suspects.find('request 0').crashes).to.equal(0)
-    expect(box!.suspects.find(`request ${3 * MOST_SUSPECTS - 1}`).crashes).to.equal(1)
+    expect(box!.suspects.find(`request ${3 * MAX_SUSPECTS - 1}`).crashes).to.equal(1)
   })
 
   it('expires suspects and quarantined requests, also while the machine is suspended', () => {
     const clock = new ManualClock()
     const [box] = createBoxes(clock, 1)
-    box!.suspects.takeCondemned([{ request: 'killer', crashes: 3, route: 'chat', upstreams: [] }])
+    box!.suspects.addQuarantined([{ request: 'killer', crashes: 3, route: 'chat', upstreams: [] }])
     crash(box!, 'suspect', 'engine-1')
-    clock.suspend(CONDEMNED_FOR - 1)
+    clock.suspend(QUARANTINE_TTL - 1)
     expect(box!.suspects.find('suspect').crashes).to.equal(0)
     expect(box!.suspects.find('killer').isCondemned).to.equal(true)
     clock.suspend(1)
     expect(box!.suspects.find('killer').isCondemned).to.equal(false)
-    expect(box!.suspects.forgetLapsed()).to.deep.equal(['killer'])
+    expect(box!.suspects.removeExpired()).to.deep.equal(['killer'])
     expect(box!.suspects.isEmpty).to.equal(true)
   })
 
@@ -178,11 +186,11 @@
         fc.array(step, { maxLength: 30 }),
         fc.infiniteStream(fc.nat()),
         (steps, order) => {
-          const seen: Suspicion[] = [UNSUSPECTED]
+          const seen: Suspicion[] = [NO_SUSPICION]
           for (const { type, from, isExcused } of steps) {
             const known = seen[from % seen.length]!
             seen.push(
-              type === 'whole' ? noteWholeAnswer(known) : noteCrashUnder(known, known, isExcused),
+              type === 'whole' ? recordCompletion(known) : recordCrash(known, known, isExcused),
             )
           }
           const shuffled = [...seen]
@@ -202,7 +210,7 @@
   it('matches a request by caller, path and the whole body for 30 s', () => {
     const clock = new ManualClock()
     const answers = new RecentAnswers(clock)
-    answers.note(content('when is high water?'))
+    answers.record(content('when is high water?'))
     expect(answers.has(content('when is high water?'))).to.equal(true)
     expect(answers.has(content('when is high Water?'))).to.equal(false)
     expect(answers.has(content('when is high water?', 'another caller'))).to.equal(false)
@@ -212,11 +220,11 @@
 
   it('keeps a bounded number of answers and of bytes', () => {
     const answers = new RecentAnswers(new ManualClock())
-    for (let at = 0; at < 1_001; at++) answers.note(content('short', `request ${at}`))
+    for (let at = 0; at < 1_001; at++) answers.record(content('short', `request ${at}`))
     expect(answers.has(content('short', 'request 0'))).to.equal(false)
     expect(answers.has(content('short', 'request 1000'))).to.equal(true)
-    answers.note(content('x'.repeat(1_500_000), 'large'))
-    answers.note(content('x'.repeat(1_500_000), 'larger'))
+    answers.record(content('x'.repeat(1_500_000), 'large'))
+    answers.record(content('x'.repeat(1_500_000), 'larger'))
     expect(answers.has(content('x'.repeat(1_500_000), 'large'))).to.equal(false)
     expect(answers.has(content('x'.repeat(1_500_000), 'larger'))).to.equal(true)
   })
--- a/packages/decisions/src/admission/retryShare.ts
+++ b/packages/decisions/src/admission/retryShare.ts
@@ -78,14 +78,14 @@
   return share.slots[share.newest % KEPT_SLOTS]!
 }
 
-export function noteRequest(share: RetryShare, now: Milliseconds): void {
+export function recordRequest(share: RetryShare, now: Milliseconds): void {
   slotAt(share, now).requests++
 }
 
 /**
  * Whether the budget allows a retry. `boxes`: how many share the slack, `Infinity` when unknown.
  */
-export function hasRetry(share: RetryShare, boxes: number, now: Milliseconds): boolean {
+export function canRetry(share: RetryShare, boxes: number, now: Milliseconds): boolean {
   slotAt(share, now)
   const oldest = share.slots[(share.newest + 1) % KEPT_SLOTS]!
   const requests = share.slots.reduce((sum, slot) => sum + slot.requests, 0) - oldest.requests
@@ -97,7 +97,7 @@
 
 /** Takes one retry from the budget. Returns false when the budget is exhausted. */
 export function takeRetry(share: RetryShare, boxes: number, now: Milliseconds): boolean {
-  if (!hasRetry(share, boxes, now)) return false
+  if (!canRetry(share, boxes, now)) return false
   slotAt(share, now).retries++
   return true
 }
--- a/packages/decisions/src/allowances/allowance.ts
+++ b/packages/decisions/src/allowances/allowance.ts
@@ -65,13 +65,13 @@
 }
 
 /** The amount drawn that is neither used nor reserved. */
-export function leftOf(allowance: Allowance): number {
+export function availableAmount(allowance: Allowance): number {
   return allowance.drawn - allowance.used - allowance.reserved
 }
 
 /** Reserves `amount`. Returns false when less than that is left. */
 export function reserve(allowance: Allowance, amount: number): boolean {
-  if (leftOf(allowance) < amount) return false
+  if (availableAmount(allowance) < amount) return false
   allowance.reserved += amount
   return true
 }
@@ -102,7 +102,7 @@
 ): number {
   if (allowance.drawing || allowance.exhausted) return 0
   const rate = allowance.rate * Math.exp(-(now - allowance.rateAt) / RATE_TIME_CONSTANT)
-  const left = leftOf(allowance)
+  const left = availableAmount(allowance)
   const isLow = left < needed || left < rate * LOW_WATER_MARK || allowance.drawn === 0
   if (!isLow) return 0
   return Math.ceil(Math.max(needed * 2, rate * DRAW_SPAN, dayLimit * MIN_DRAW_SHARE))
--- a/packages/decisions/src/budgets/sharedRate.ts
+++ b/packages/decisions/src/budgets/sharedRate.ts
@@ -28,7 +28,7 @@
 }
 
 /** A box and its data centre. */
-export interface BoxPlace {
+export interface BoxLocation {
   box: string
   dataCentre: string
 }
@@ -89,14 +89,14 @@
 }
 
 /** Send times that `nextSendAt` needs for each upstream. */
-export const SENDS_REMEMBERED = MAX_BURST
+export const SEND_HISTORY_LENGTH = MAX_BURST
 
 /**
  * Selects the boxes that send to an upstream: in the first turn those of its own data centre,
  * unless it has too few, so that prompts stay within it. `nameHash`: hash of the upstream's id.
  * `turn`: number of earlier groups of senders that were idle; later turns select from all boxes.
  */
-export function sendersOf<T extends BoxPlace>(
+export function sendersOf<T extends BoxLocation>(
   { nameHash, dataCentre, turn = 0 }: { nameHash: number; dataCentre: string; turn?: number },
   boxes: readonly T[],
   { senders }: Pick<RateShare, 'senders'>,
--- a/packages/decisions/src/budgets/statedLimit.ts
+++ b/packages/decisions/src/budgets/statedLimit.ts
@@ -11,9 +11,9 @@
 }
 
 /** A box's state of the limit that one run of an upstream advertises. */
-export interface StatedLimit extends SharedLimit {
+export interface AdvertisedLimit extends SharedLimit {
   /** When this box last gossiped its own answer or accepted one from gossip. */
-  heardAt: Milliseconds
+  receivedAt: Milliseconds
   /** The latest answer to this box; `Infinity` where it advertised no limit. */
   own: { perSecond: number; at: Milliseconds }
 }
@@ -40,16 +40,16 @@
 const TURN_REQUESTS = 2.5
 const SECOND: Milliseconds = 1_000
 
-export function createStatedLimit(now: Milliseconds): StatedLimit {
-  return { version: 0, turn: 0, heardAt: now, own: { perSecond: Infinity, at: -Infinity } }
+export function createAdvertisedLimit(now: Milliseconds): AdvertisedLimit {
+  return { version: 0, turn: 0, receivedAt: now, own: { perSecond: Infinity, at: -Infinity } }
 }
 
 /**
- * Interval at which an unchanged limit is gossiped again. `limited`: number of upstreams with a
+ * Interval at which an unchanged limit is gossiped again. `limitedCount`: number of upstreams with a
  * limit.
  */
-export function gossipInterval(limited: number): Milliseconds {
-  const spread = (limited * SECOND) / MAX_GOSSIP_PER_SECOND
+export function gossipInterval(limitedCount: number): Milliseconds {
+  const spread = (limitedCount * SECOND) / MAX_GOSSIP_PER_SECOND
   return Math.min(MAX_GOSSIP_INTERVAL, Math.max(MIN_GOSSIP_INTERVAL, spread))
 }
 
@@ -57,23 +57,23 @@
  * Records the limit in an answer to this box, or that it has none. Returns true when it is to be
  * gossiped.
  */
-export function noteStatedLimit(
-  state: StatedLimit,
+export function recordAdvertisedLimit(
+  state: AdvertisedLimit,
   perSecond: number | undefined,
-  limited: number,
+  limitedCount: number,
   now: Milliseconds,
 ): boolean {
   const isSame = state.perSecond === perSecond
   state.own = { perSecond: perSecond ?? Infinity, at: now }
-  const isDue = perSecond !== undefined && now - state.heardAt >= gossipInterval(limited)
+  const isDue = perSecond !== undefined && now - state.receivedAt >= gossipInterval(limitedCount)
   if (isSame && !isDue) return false
-  const turn = limitTurn(state, limited, now)
+  const turn = senderGroupAt(state, limitedCount, now)
   setLimit(state, {
     ...(perSecond !== undefined && { perSecond }),
     version: state.version + 1,
     turn,
   })
-  state.heardAt = now
+  state.receivedAt = now
   return true
 }
 
@@ -81,8 +81,8 @@
  * Merges a limit from gossip. Returns true when it is new and is to be forwarded. The merge is
  * order-independent, so all boxes converge.
  */
-export function takeSharedLimit(
-  state: StatedLimit,
+export function mergeSharedLimit(
+  state: AdvertisedLimit,
   received: SharedLimit,
   now: Milliseconds,
 ): boolean {
@@ -90,11 +90,11 @@
   const isTighter = version === state.version && perSecond < (state.perSecond ?? Infinity)
   if (version < state.version || (version === state.version && !isTighter)) return false
   setLimit(state, received)
-  state.heardAt = now
+  state.receivedAt = now
   return true
 }
 
-function setLimit(state: StatedLimit, { perSecond, version, turn }: SharedLimit): void {
+function setLimit(state: AdvertisedLimit, { perSecond, version, turn }: SharedLimit): void {
   if (perSecond === undefined) delete state.perSecond
   else state.perSecond = perSecond
   state.version = version
@@ -102,21 +102,25 @@
 }
 
 /** The current limit in requests a second; undefined where there is none. */
-export function limitNow(state: StatedLimit, now: Milliseconds): number | undefined {
-  const { perSecond = Infinity, heardAt, own } = state
-  const shared = now - heardAt < LIMIT_LIFETIME ? perSecond : Infinity
+export function currentLimit(state: AdvertisedLimit, now: Milliseconds): number | undefined {
+  const { perSecond = Infinity, receivedAt, own } = state
+  const shared = now - receivedAt < LIMIT_LIFETIME ? perSecond : Infinity
   const ownLimit = now - own.at < OWN_ANSWER_PRECEDENCE ? own.perSecond : Infinity
   const lowest = Math.min(shared, ownLimit)
   return lowest === Infinity ? undefined : lowest
 }
 
-/** Number of the current group of senders. `limited`: number of upstreams with a limit. */
-export function limitTurn(state: StatedLimit, limited: number, now: Milliseconds): number {
+/** Number of the current group of senders. `limitedCount`: number of upstreams with a limit. */
+export function senderGroupAt(
+  state: AdvertisedLimit,
+  limitedCount: number,
+  now: Milliseconds,
+): number {
   if (state.perSecond === undefined) return 0
   const forRequests = (TURN_REQUESTS * SECOND) / state.perSecond
   const span = Math.min(
     LIMIT_LIFETIME,
-    Math.max(TURN_GOSSIP_INTERVALS * gossipInterval(limited), forRequests),
+    Math.max(TURN_GOSSIP_INTERVALS * gossipInterval(limitedCount), forRequests),
   )
-  return state.turn + Math.max(0, Math.floor((now - state.heardAt) / span))
+  return state.turn + Math.max(0, Math.floor((now - state.receivedAt) / span))
 }
--- a/packages/decisions/src/budgets/waitingLine.ts
+++ b/packages/decisions/src/budgets/waitingLine.ts
@@ -4,15 +4,15 @@
  */
 
 /** A request that waits for an upstream. */
-export interface Waiter {
+export interface QueuedRequest {
   /** 0 is the most urgent. */
   urgency: number
   organisation: string
 }
 
 /** The requests of one service that wait for an upstream, in order of arrival. */
-export interface WaitingLine {
-  waiters: Set<Waiter>
+export interface WaitQueue {
+  waiters: Set<QueuedRequest>
   /** Organisations of the latest requests that were served, oldest first; may repeat. */
   served: string[]
 }
@@ -23,13 +23,13 @@
  */
 const SERVED_HISTORY_LENGTH = 14
 
-export function createWaitingLine(): WaitingLine {
+export function createWaitQueue(): WaitQueue {
   return { waiters: new Set(), served: [] }
 }
 
 /** Number of requests that are served before this one. */
-export function waitersAhead({ waiters, served }: WaitingLine, waiter: Waiter): number {
-  const rankOf = ({ urgency, organisation }: Waiter) =>
+export function requestsAhead({ waiters, served }: WaitQueue, waiter: QueuedRequest): number {
+  const rankOf = ({ urgency, organisation }: QueuedRequest) =>
     urgency + served.filter(name => name === organisation).length
   const rank = rankOf(waiter)
   let ahead = 0
@@ -46,7 +46,7 @@
 }
 
 /** Records that a request was served while others could have taken its place. */
-export function noteServed(line: WaitingLine, { organisation }: Waiter): void {
+export function recordServed(line: WaitQueue, { organisation }: QueuedRequest): void {
   line.served.push(organisation)
   if (line.served.length > SERVED_HISTORY_LENGTH) line.served.shift()
 }
--- a/packages/decisions/src/choice/cascadePlan.ts
+++ b/packages/decisions/src/choice/cascadePlan.ts
@@ -6,7 +6,7 @@
 import { goodShare, type BucketEstimate } from './qualityEstimates.js'
 
 /** Estimates of one cascade stage for a kind of request. */
-export interface StageOutlook {
+export interface StageEstimate {
   model: string
   buckets: readonly BucketEstimate[]
   /** Expected cost of one answer, millionths of a currency unit. */
@@ -38,7 +38,7 @@
 }
 
 /** Plans a cascade. The result holds until estimates or prices change. */
-export function planCascade(stages: readonly StageOutlook[], prices: PlanPrices): CascadePlan {
+export function planCascade(stages: readonly StageEstimate[], prices: PlanPrices): CascadePlan {
   const decisions = new Array<StageDecision>(stages.length)
   for (let index = stages.length - 1; index >= 0; index--) {
     const stage = stages[index]!
@@ -54,7 +54,7 @@
   return { start, stages: decisions }
 }
 
-function decideUnjudged(stage: StageOutlook, prices: PlanPrices): StageDecision {
+function decideUnjudged(stage: StageEstimate, prices: PlanPrices): StageDecision {
   const quality = goodShare(stage.buckets)
   return {
     value: stage.cost + prices.badAnswer * (1 - quality),
@@ -67,7 +67,11 @@
  * The answer is buffered until it is complete; buckets of low expected quality escalate to the next
  * stage.
  */
-function decideJudged(stage: StageOutlook, next: StageDecision, prices: PlanPrices): StageDecision {
+function decideJudged(
+  stage: StageEstimate,
+  next: StageDecision,
+  prices: PlanPrices,
+): StageDecision {
   const accepts: boolean[] = []
   const delay = prices.millisecondOfDelay * stage.wholeAnswerMilliseconds
   let value = stage.cost + delay
--- a/packages/decisions/src/choice/chooseVersion.ts
+++ b/packages/decisions/src/choice/chooseVersion.ts
@@ -3,7 +3,7 @@
 import type { VersionRow } from '../table/tableRow.js'
 
 /** Constraints on new sessions of a version, besides its row. */
-export interface VersionBounds {
+export interface VersionConstraints {
   isHalted(version: string): boolean
   /** Answers that the version may still serve before more ratings are needed. */
   roomOf(version: string): number
@@ -20,7 +20,7 @@
   rights: readonly Rights[],
   organisation: string,
   model: string,
-  bounds: VersionBounds,
+  bounds: VersionConstraints,
   random: Random,
 ): string | undefined {
   const rows = rights[0]?.versionsOf(organisation, model) ?? []
--- a/packages/decisions/src/choice/modelLadder.ts
+++ b/packages/decisions/src/choice/modelLadder.ts
@@ -53,7 +53,7 @@
 }
 
 /** Records the confidences of two models in their answers to one request. */
-export function noteConfidences(
+export function recordConfidences(
   gains: ConfidenceGains,
   from: { model: string; confidence: number },
   to: { model: string; confidence: number },
--- a/packages/decisions/src/choice/qualityEstimates.ts
+++ b/packages/decisions/src/choice/qualityEstimates.ts
@@ -67,13 +67,13 @@
 }
 
 /** Counts an answer in its bucket. */
-export function noteAnswer(counts: QualityCounts, bucket: number, now: Milliseconds): void {
+export function countAnswer(counts: QualityCounts, bucket: number, now: Milliseconds): void {
   decay(counts, now)
   counts.seen[bucket] = (counts.seen[bucket] ?? 0) + 1
 }
 
 /** Counts a rating; `bucket` is undefined when the answer was streamed unjudged. */
-export function noteRating(
+export function countRating(
   counts: QualityCounts,
   bucket: number | undefined,
   isGood: boolean,
--- a/packages/decisions/src/choice/solveQualityPrice.ts
+++ b/packages/decisions/src/choice/solveQualityPrice.ts
@@ -4,7 +4,7 @@
  * where that is cheapest.
  */
 import type { Concern } from '../table/tableRow.js'
-import { planCascade, type StageOutlook } from './cascadePlan.js'
+import { planCascade, type StageEstimate } from './cascadePlan.js'
 
 /**
  * Price of a millisecond of delay, in millionths of a currency unit, by the organisation's concern.
@@ -15,7 +15,7 @@
 export interface KindEstimate {
   /** Share of the organisation's requests. */
   share: number
-  stages: readonly StageOutlook[]
+  stages: readonly StageEstimate[]
   /** Price in millionths of a currency unit. */
   millisecondOfDelay: number
 }
@@ -50,7 +50,7 @@
 }
 
 /** Calibration error of the plans: predicted quality less rated quality. */
-export interface PromiseCheck {
+export interface QualityCalibration {
   /** Moving average of the error; positive where plans predict too much. */
   excess: number
   ratings: number
@@ -63,12 +63,16 @@
 /** Planned above the target, because ratings are sparse and late. */
 const TARGET_MARGIN = 0.008
 
-export function createPromiseCheck(): PromiseCheck {
+export function createQualityCalibration(): QualityCalibration {
   return { excess: 0, ratings: 0 }
 }
 
 /** Records the rating of an answer; `predicted`: the plan's probability that it is good. */
-export function notePromise(check: PromiseCheck, predicted: number, good: boolean): void {
+export function recordPrediction(
+  check: QualityCalibration,
+  predicted: number,
+  good: boolean,
+): void {
   check.ratings++
   const step = Math.max(MIN_RATING_WEIGHT, 1 / (check.ratings + PRIOR_RATINGS))
   check.excess += step * (predicted - (good ? 1 : 0) - check.excess)
@@ -78,6 +82,6 @@
  * The quality to plan for, corrected by the calibration error, so that rated quality meets the
  * target.
  */
-export function correctedTarget(check: PromiseCheck, target: number): number {
+export function correctedTarget(check: QualityCalibration, target: number): number {
   return target + TARGET_MARGIN + check.excess
 }
--- a/packages/decisions/src/claims/claim.ts
+++ b/packages/decisions/src/claims/claim.ts
@@ -91,7 +91,7 @@
     'the call may not be repeated and the store that guards it does not answer; nothing was sent now',
     RETRY_AFTER,
   )
-  return withoutClaimKnown(refusal, isFirstAttempt)
+  return qualifyRefusal(refusal, isFirstAttempt)
 }
 
 /**
@@ -99,6 +99,6 @@
  * call, not about this attempt: unless the caller states that this is its first attempt, an earlier
  * one may have run.
  */
-export function withoutClaimKnown(refusal: Refusal, isFirstAttempt: boolean): Refusal {
+export function qualifyRefusal(refusal: Refusal, isFirstAttempt: boolean): Refusal {
   return isFirstAttempt ? refusal : { ...refusal, verdict: 'may-have-run' }
 }
--- a/packages/decisions/src/crashes/suspicion.ts
+++ b/packages/decisions/src/crashes/suspicion.ts
@@ -15,16 +15,16 @@
 /** A request's suspicion at the time it was sent to an upstream. */
 export type SuspicionAtSend = Omit<Suspicion, 'isCondemned'>
 
-/** Consecutive crashes that condemn a request; the limit that operators require. */
-export const CRASHES_TO_CONDEMN = 3
+/** Consecutive crashes that quarantine a request; the limit that operators require. */
+export const CRASHES_TO_QUARANTINE = 3
 /**
  * Crashes of one request that may be excused; without a limit it would be retried throughout an
- * unrelated outage. With it, an innocent request is condemned only after five crashes in successive
+ * unrelated outage. With it, an innocent request is quarantined only after five crashes in successive
  * runs.
  */
-export const MOST_EXCUSED = 2
+export const MAX_EXCUSED_CRASHES = 2
 
-export const UNSUSPECTED: Suspicion = { epoch: 0, crashes: 0, excused: 0, isCondemned: false }
+export const NO_SUSPICION: Suspicion = { epoch: 0, crashes: 0, excused: 0, isCondemned: false }
 
 /**
  * Returns the suspicion with more evidence. The merge is commutative and idempotent, so all boxes
@@ -42,14 +42,14 @@
  * so that upstreams that crash under concurrent runs count as one crash, and consecutive runs count
  * separately.
  */
-export function noteCrashUnder(
+export function recordCrash(
   known: Suspicion,
   { epoch, crashes, excused }: SuspicionAtSend,
   isExcused: boolean,
 ): Suspicion {
   const next = isExcused
     ? { epoch, crashes, excused: excused + 1, isCondemned: false }
-    : { epoch, crashes: crashes + 1, excused, isCondemned: crashes + 1 >= CRASHES_TO_CONDEMN }
+    : { epoch, crashes: crashes + 1, excused, isCondemned: crashes + 1 >= CRASHES_TO_QUARANTINE }
   return mergeSuspicion(known, next)
 }
 
@@ -57,6 +57,6 @@
  * Records that a run of the request completed: clears its suspicion if any crash counted against
  * it.
  */
-export function noteWholeAnswer(known: Suspicion): Suspicion {
-  return known.crashes === 0 ? known : { ...UNSUSPECTED, epoch: known.epoch + 1 }
+export function recordCompletion(known: Suspicion): Suspicion {
+  return known.crashes === 0 ? known : { ...NO_SUSPICION, epoch: known.epoch + 1 }
 }
--- a/packages/decisions/src/exposure/evidence.ts
+++ b/packages/decisions/src/exposure/evidence.ts
@@ -85,7 +85,7 @@
  * Merges this box's old blocks into `OLDER_BLOCK` and drops those of other boxes, which bounds the
  * number of counters.
  */
-export function foldOldEvidence(store: EvidenceStore, block: number): void {
+export function mergeOldBlocks(store: EvidenceStore, block: number): void {
   for (const counter of [...store.counters.values()]) {
     if (counter.block === OLDER_BLOCK || counter.block > block - RETAINED_BLOCKS) continue
     store.counters.delete(counter.key)
--- a/packages/decisions/src/exposure/isShownWorse.ts
+++ b/packages/decisions/src/exposure/isShownWorse.ts
@@ -26,13 +26,13 @@
 const QUALITY_DROPS = [0.05, 0.1, 0.2, 0.4]
 /** Standard errors subtracted from the incumbent's share to allow for its own uncertainty. */
 const BASELINE_STANDARD_ERRORS = 2
-const MINIMUM_SHARE = 0.01
-const MAXIMUM_SHARE = 0.995
+const MIN_SHARE = 0.01
+const MAX_SHARE = 0.995
 /**
  * Fewest ratings of the incumbent that make a baseline for a kind. Ratings of the same period are
  * used if there are enough, otherwise all of them; a kind with fewer is skipped.
  */
-const MINIMUM_BASELINE_RATINGS = 20
+const MIN_BASELINE_RATINGS = 20
 
 /** Whether the candidate is worse than the incumbent at significance level `alpha`. */
 export function isSignificantlyWorse(
@@ -71,7 +71,7 @@
 }
 
 function logLikelihoodRatio(baseline: number, drop: number, good: number, bad: number): number {
-  const lower = Math.max(MINIMUM_SHARE, baseline - drop)
+  const lower = Math.max(MIN_SHARE, baseline - drop)
   if (lower >= baseline) return 0
   return good * Math.log(lower / baseline) + bad * Math.log((1 - lower) / (1 - baseline))
 }
@@ -87,14 +87,14 @@
 ): number | undefined {
   if (!blocks) return undefined
   const sameTime = ratingsSince(blocks, start)
-  const isEnough = sameTime.good + sameTime.bad >= MINIMUM_BASELINE_RATINGS
+  const isEnough = sameTime.good + sameTime.bad >= MIN_BASELINE_RATINGS
   const { good, bad } = isEnough ? sameTime : ratingsSince(blocks, OLDER_BLOCK)
   const rated = good + bad
-  if (rated < MINIMUM_BASELINE_RATINGS) return undefined
+  if (rated < MIN_BASELINE_RATINGS) return undefined
   const share = good / rated
   const standardError = Math.sqrt((share * (1 - share)) / rated)
   const baseline = share - BASELINE_STANDARD_ERRORS * standardError - tolerance
-  return Math.min(MAXIMUM_SHARE, Math.max(MINIMUM_SHARE, baseline))
+  return Math.min(MAX_SHARE, Math.max(MIN_SHARE, baseline))
 }
 
 function ratingsSince(
--- a/packages/decisions/src/exposure/judgeVersions.ts
+++ b/packages/decisions/src/exposure/judgeVersions.ts
@@ -6,7 +6,7 @@
   type VersionEvidence,
   type SequentialTestOptions,
 } from './isShownWorse.js'
-import { rampStateOf, ratingCoverage, remainingAnswers } from './ramp.js'
+import { countRatings, ratingCoverage, remainingAnswers } from './ramp.js'
 
 const NO_EVIDENCE: VersionEvidence = new Map()
 
@@ -35,7 +35,7 @@
   let best: { version: string; rated: number } | undefined
   for (const version of versions) {
     if (isHalted(halts, version)) continue
-    const { rated } = rampStateOf(evidenceOf(totals, halts, version))
+    const { rated } = countRatings(evidenceOf(totals, halts, version))
     if (rated > (best?.rated ?? 0)) best = { version, rated }
   }
   return best?.version
@@ -45,9 +45,9 @@
 export interface VersionJudgement {
   version: string
   isIncumbent: boolean
-  shownWorse: boolean
+  isWorse: boolean
   /** Answers that it may give before further ratings arrive; Infinity for the incumbent. */
-  room: number
+  headroom: number
 }
 
 /** Compares all versions of one model that take new sessions. Names are `model@version`. */
@@ -59,15 +59,15 @@
 ): VersionJudgement[] {
   const incumbent = resolveIncumbent(totals, halts, versions)
   const baseline = incumbent ? evidenceOf(totals, halts, incumbent) : NO_EVIDENCE
-  const coverage = ratingCoverage(rampStateOf(baseline))
+  const coverage = ratingCoverage(countRatings(baseline))
   return versions.map(version => {
     const isIncumbent = version === incumbent || incumbent === undefined
     const evidence = evidenceOf(totals, halts, version)
     return {
       version,
       isIncumbent,
-      shownWorse: !isIncumbent && isSignificantlyWorse(evidence, baseline, options),
-      room: isIncumbent ? Infinity : remainingAnswers(rampStateOf(evidence), coverage),
+      isWorse: !isIncumbent && isSignificantlyWorse(evidence, baseline, options),
+      headroom: isIncumbent ? Infinity : remainingAnswers(countRatings(evidence), coverage),
     }
   })
 }
--- a/packages/decisions/src/exposure/ramp.ts
+++ b/packages/decisions/src/exposure/ramp.ts
@@ -17,7 +17,7 @@
   rated: number
 }
 
-export function rampStateOf(evidence: VersionEvidence | undefined): RatingCounts {
+export function countRatings(evidence: VersionEvidence | undefined): RatingCounts {
   const totals: EvidenceTotal[] = evidence
     ? [...evidence.values()].flatMap(blocks => [...blocks.values()])
     : []
@@ -32,13 +32,13 @@
 
 /** Share of answers that are rated: default until enough were served, and lower bound. */
 const DEFAULT_COVERAGE = 0.3
-const MINIMUM_COVERAGE = 0.05
-const MINIMUM_SERVED_FOR_COVERAGE = 100
+const MIN_COVERAGE = 0.05
+const MIN_SERVED_FOR_COVERAGE = 100
 
 /** Estimated share of answers that get a rating, from the incumbent's counts. */
 export function ratingCoverage(incumbent: RatingCounts): number {
-  if (incumbent.served < MINIMUM_SERVED_FOR_COVERAGE) return DEFAULT_COVERAGE
-  return Math.max(MINIMUM_COVERAGE, incumbent.rated / incumbent.served)
+  if (incumbent.served < MIN_SERVED_FOR_COVERAGE) return DEFAULT_COVERAGE
+  return Math.max(MIN_COVERAGE, incumbent.rated / incumbent.served)
 }
 
 /** Answers that a version may give before its next rating; 0 pauses the ramp. */
--- a/packages/decisions/src/freshness/confirmation.ts
+++ b/packages/decisions/src/freshness/confirmation.ts
@@ -33,6 +33,6 @@
  * Earliest instant, on the receiver's clock, at which the peer's proof can have been taken. Holds
  * for any network delay in either direction.
  */
-export function vouchedAt({ echo, heldFor, age }: PeerProof): Milliseconds {
+export function earliestProofAt({ echo, heldFor, age }: PeerProof): Milliseconds {
   return echo + heldFor - age
 }
--- a/packages/decisions/src/freshness/resolveFreshness.ts
+++ b/packages/decisions/src/freshness/resolveFreshness.ts
@@ -7,14 +7,17 @@
 
 /**
  * Decides whether a box may serve with its copy. `confirmed`: the copy was the store's newest
- * revision within the last `freshFor`. `vouched`: the store is unavailable, a majority of each
+ * revision within the last `maxConfirmationAge`. `vouched`: the store is unavailable, a majority of each
  * relevant voter set reports so too, and none of that majority has a newer revision. A change is
  * written only after a majority has acknowledged its announcement, so every vouching majority
  * contains a box that knows of it; boxes enforce an announced change together with the present
  * table until it is settled.
  */
 export function resolveFreshness(state: TableState, now: Milliseconds): Freshness {
-  if (state.confirmedAt !== undefined && now - state.confirmedAt <= state.limits.freshFor) {
+  if (
+    state.confirmedAt !== undefined &&
+    now - state.confirmedAt <= state.limits.maxConfirmationAge
+  ) {
     return 'confirmed'
   }
   return isVouched(state, now) ? 'vouched' : 'stale'
@@ -51,5 +54,5 @@
   if (voter === state.self) return true
   const report = state.peers.get(voter)
   if (!report || !report.storeOut) return false
-  return now - report.asOf <= state.limits.peerWordFor && report.revision <= state.table.revision
+  return now - report.asOf <= state.limits.maxReportAge && report.revision <= state.table.revision
 }
--- a/packages/decisions/src/freshness/tableController.ts
+++ b/packages/decisions/src/freshness/tableController.ts
@@ -6,7 +6,7 @@
 import type {
   OpenProposal,
   OwnProposal,
-  PeerWord,
+  PeerReport,
   Proposal,
   TableEffect,
   TableMessage,
@@ -36,7 +36,7 @@
 export const tableTransition = createTransition(HANDLERS)
 
 /** The tables that a request must satisfy: the copy, and the copy with each open change applied. */
-export function resolveTablesInDoubt(state: TableState): Table[] {
+export function resolvePossibleTables(state: TableState): Table[] {
   const withOpenChange = [...state.open.values()].flatMap(({ content }) =>
     content.kind === 'change'
       ? [applyChange(state.table, content.change, state.table.revision)]
@@ -58,7 +58,7 @@
     announcedTo: new Set([state.self]),
   }
   state.own.set(proposal.id, own)
-  state.open.set(proposal.id, { ...proposal, heardAt: now })
+  state.open.set(proposal.id, { ...proposal, receivedAt: now })
   return [{ type: 'announce', proposal }, ...commitAfterMajority(state, own)]
 }
 
@@ -231,7 +231,7 @@
   return []
 }
 
-function confirmFromPeer(state: TableState, report: PeerWord): void {
+function confirmFromPeer(state: TableState, report: PeerReport): void {
   if (report.revision !== state.table.revision || report.confirmedAt === undefined) return
   confirm(state, report.confirmedAt)
 }
@@ -264,8 +264,8 @@
   }
   if (isStoreOut(state, now)) return effects
   for (const open of state.open.values()) {
-    if (state.own.has(open.id) || now - open.heardAt <= state.limits.settleAfter) continue
-    open.heardAt = now
+    if (state.own.has(open.id) || now - open.receivedAt <= state.limits.settleAfter) continue
+    open.receivedAt = now
     effects.push({ type: 'settle', proposal: { id: open.id, content: open.content } })
   }
   return effects
@@ -273,7 +273,7 @@
 
 function openProposal(state: TableState, proposal: Proposal, now: Milliseconds): void {
   if (state.open.has(proposal.id) || isInForce(state, proposal)) return
-  state.open.set(proposal.id, { ...proposal, heardAt: now })
+  state.open.set(proposal.id, { ...proposal, receivedAt: now })
 }
 
 function isInForce(state: TableState, { content }: Proposal): boolean {
--- a/packages/decisions/src/freshness/tableState.ts
+++ b/packages/decisions/src/freshness/tableState.ts
@@ -9,9 +9,9 @@
    * Maximum age of a confirmation that the copy is the store's newest. Bounds the delay until a
    * change is enforced.
    */
-  freshFor: Milliseconds
+  maxConfirmationAge: Milliseconds
   /** Maximum age of a peer report that counts towards a vouching majority. */
-  peerWordFor: Milliseconds
+  maxReportAge: Milliseconds
   /** Time without an answer after which the store counts as unavailable. */
   storeOutAfter: Milliseconds
   /** Time after which another box that reaches the store settles an open proposal. */
@@ -21,8 +21,8 @@
 }
 
 export const DEFAULT_FRESHNESS_LIMITS: FreshnessLimits = {
-  freshFor: 3_000,
-  peerWordFor: 2_000,
+  maxConfirmationAge: 3_000,
+  maxReportAge: 2_000,
   storeOutAfter: 1_500,
   settleAfter: 5_000,
   announceFor: 1_500,
@@ -43,7 +43,7 @@
  */
 export interface OpenProposal extends Proposal {
   /** When it was announced to this box, or last sent for settling. */
-  heardAt: Milliseconds
+  receivedAt: Milliseconds
   /** Set once the change is known to be accepted and the copy does not contain it yet. */
   acceptedRevision?: number
 }
@@ -58,7 +58,7 @@
 }
 
 /** Latest report of a peer. Instants are on this box's clock. */
-export interface PeerWord {
+export interface PeerReport {
   /** Earliest instant at which the peer can have sent it. */
   asOf: Milliseconds
   revision: number
@@ -83,7 +83,7 @@
   floor: number
   /** Whether the store has returned a revision older than one known to be accepted. */
   storeWentBack: boolean
-  peers: Map<VoterId, PeerWord>
+  peers: Map<VoterId, PeerReport>
   /** The current voter set, if any: the one with the highest known epoch. */
   voters?: VoterSet
   /** Proposals of any box that are not settled, by id. */
@@ -112,7 +112,7 @@
   | {
       type: 'peer-word'
       from: VoterId
-      word: PeerWord
+      word: PeerReport
       open: Proposal[]
       voters?: VoterSet
     }
--- a/packages/decisions/src/listing/exchangeHealth.ts
+++ b/packages/decisions/src/listing/exchangeHealth.ts
@@ -66,7 +66,7 @@
  * other upstreams; faults common to all of them eject none. Returns whether this outcome ejects the
  * upstream.
  */
-export function noteExchange(
+export function recordExchange(
   health: ExchangeHealth,
   outcome: ExchangeOutcome,
   othersBadShare: number,
@@ -79,7 +79,7 @@
     health.isUnreachable = true
     return isNew
   }
-  if (outcome === 'gone') return noteGone(health)
+  if (outcome === 'gone') return recordProcessReplaced(health)
   health.consecutiveLosses = outcome === 'lost' ? health.consecutiveLosses + 1 : 0
   if (outcome !== 'lost') health.lastHeardAt = now
   if (outcome === 'good' && health.badShare < EWMA_WEIGHT) health.ejections = 0
@@ -104,14 +104,14 @@
 }
 
 /** Records that another process has the upstream's address. Returns whether this was unknown. */
-export function noteGone(health: ExchangeHealth): boolean {
+export function recordProcessReplaced(health: ExchangeHealth): boolean {
   const isNew = !health.isGone
   health.isGone = true
   return isNew
 }
 
 /** Records that the upstream accepts connections again. */
-export function noteReachable(health: ExchangeHealth): void {
+export function recordReachable(health: ExchangeHealth): void {
   health.isUnreachable = false
 }
 
--- a/packages/decisions/src/listing/pickUpstream.ts
+++ b/packages/decisions/src/listing/pickUpstream.ts
@@ -1,17 +1,17 @@
 import type { Milliseconds } from '../types/clock.js'
 import type { Random } from '../types/random.js'
 import { prefixHomes } from './textHomes.js'
-import type { PromptWork, UpstreamCandidate } from './upstreamCandidate.js'
+import type { PrefillWork, UpstreamCandidate } from './upstreamCandidate.js'
 
 export interface PickOptions {
   dataCentre: string
   random: Random
-  prompt?: PromptWork
+  prompt?: PrefillWork
   /**
    * Whether every box sends its pending work to every other box directly. Otherwise that of others
    * is known for this data centre only, and lags by about 100 ms. Defaults to true.
    */
-  knowsFarWork?: boolean
+  knowsRemoteWork?: boolean
   /** Size of the request body, transferred when the upstream is in another data centre. */
   bodyBytes?: number
 }
@@ -61,26 +61,26 @@
 
 function pickLowestCost<T extends UpstreamCandidate>(
   candidates: readonly T[],
-  prompt: PromptWork,
-  { dataCentre, random, knowsFarWork = true, bodyBytes = 0 }: PickOptions,
+  prompt: PrefillWork,
+  { dataCentre, random, knowsRemoteWork = true, bodyBytes = 0 }: PickOptions,
 ): T {
-  const { whole, shared, sharedTokens } = prompt
+  const { prefillTime, sharedPrefillTime, sharedTokens } = prompt
   const homes = prefixHomes(prompt, candidates, dataCentre)
   const cacheHitValue = (CACHE_HIT_VALUE * sharedTokens) / 1_000
   const remoteCost =
-    (knowsFarWork ? REMOTE_COST : UNKNOWN_QUEUE_COST) +
+    (knowsRemoteWork ? REMOTE_COST : UNKNOWN_QUEUE_COST) +
     (TRANSFER_COST_PER_KILOBYTE * bodyBytes) / BYTES_PER_KILOBYTE
   let best = candidates[0]!
   let least = Infinity
-  const considered = knowsFarWork
+  const considered = knowsRemoteWork
     ? candidates
     : sampleCandidates(candidates, homes.keys(), dataCentre, random)
   for (const candidate of considered) {
     const cachedShare = homes.get(candidate) ?? 0
     const cost =
-      candidate.waiting +
-      (STREAM_COST + PREFILL_STALL_SHARE * whole) * candidate.load +
-      candidate.slowness * (whole - cachedShare * shared) -
+      candidate.pendingPrefill +
+      (STREAM_COST + PREFILL_STALL_SHARE * prefillTime) * candidate.load +
+      candidate.prefillSlowdown * (prefillTime - cachedShare * sharedPrefillTime) -
       cachedShare * cacheHitValue +
       (candidate.listed.dataCentre === dataCentre ? 0 : remoteCost) +
       TIE_BREAK_JITTER * random()
--- a/packages/decisions/src/listing/textHomes.ts
+++ b/packages/decisions/src/listing/textHomes.ts
@@ -1,5 +1,5 @@
 import { hashText, mixHashes } from '../utils/rendezvousHash.js'
-import type { PromptWork, UpstreamCandidate } from './upstreamCandidate.js'
+import type { PrefillWork, UpstreamCandidate } from './upstreamCandidate.js'
 
 /** Weight of the cache hit expected at a prefix's home. */
 const FIRST_HOME_WEIGHT = 1
@@ -28,14 +28,14 @@
  * prefix.
  */
 export function prefixHomes<T extends UpstreamCandidate>(
-  { homeKey }: PromptWork,
+  { prefixKey }: PrefillWork,
   candidates: readonly T[],
   dataCentre: string,
 ): Map<T, number> {
   const homes = new Map<T, number>()
-  if (homeKey === undefined) return homes
+  if (prefixKey === undefined) return homes
   const groupOf = createGroups(candidates)
-  const rankings = rankInGroups(hashText(homeKey), candidates, groupOf)
+  const rankings = rankInGroups(hashText(prefixKey), candidates, groupOf)
   const own = rankings.get(groupOf(dataCentre))
   if (own) homes.set(own.first, FIRST_HOME_WEIGHT)
   if (own?.second) homes.set(own.second, SECOND_HOME_WEIGHT)
@@ -86,8 +86,8 @@
  * prefix's home of the same version. Larger models only: for the smallest a prefill is cheaper than
  * a transfer.
  */
-export function copySource<T extends UpstreamCandidate>(
-  prompt: PromptWork,
+export function prefixCopySource<T extends UpstreamCandidate>(
+  prompt: PrefillWork,
   chosen: T,
   candidates: readonly T[],
 ): T | undefined {
--- a/packages/decisions/src/listing/unreadWork.ts
+++ b/packages/decisions/src/listing/unreadWork.ts
@@ -14,7 +14,7 @@
  */
 export type WorkRole = 'direct' | 'member' | 'relay'
 
-export interface UnreadWork {
+export interface PendingWork {
   /** This box's own work, by upstream. */
   own: Map<string, Milliseconds>
   /** The work last reported to others, by upstream. */
@@ -37,20 +37,20 @@
 /** Sender key of the relay's sums. */
 const RELAY_SENDER = ''
 
-export function createUnreadWork(): UnreadWork {
+export function createPendingWork(): PendingWork {
   return { own: new Map(), lastSent: new Map(), received: new Map() }
 }
 
 /** Adds work for a prompt that this box sent; negative work when its prefill ended. */
-export function addOwnWork({ own }: UnreadWork, upstream: string, work: Milliseconds): void {
+export function addOwnWork({ own }: PendingWork, upstream: string, work: Milliseconds): void {
   const next = (own.get(upstream) ?? 0) + work
   if (next < ROUNDING_ERROR) own.delete(upstream)
   else own.set(upstream, next)
 }
 
 /** Records another box's report of its own work. Zero work removes an entry. */
-export function takeBoxWork(
-  state: UnreadWork,
+export function recordBoxWork(
+  state: PendingWork,
   box: string,
   entries: readonly WorkEntry[],
   receivedAt: Milliseconds,
@@ -64,19 +64,23 @@
 }
 
 /** Records the relay's sums for the data centre, less what this box last reported to it. */
-export function takeWorkSums(
-  state: UnreadWork,
+export function recordWorkSums(
+  state: PendingWork,
   entries: readonly WorkEntry[],
   receivedAt: Milliseconds,
 ): void {
   const othersWork = entries.map(([upstream, sum]): WorkEntry => {
     return [upstream, Math.max(0, sum - (state.lastSent.get(upstream) ?? 0))]
   })
-  takeBoxWork(state, RELAY_SENDER, othersWork, receivedAt)
+  recordBoxWork(state, RELAY_SENDER, othersWork, receivedAt)
 }
 
 /** Pending prefill time at an upstream over all boxes; expired reports don't count. */
-export function unreadAt(state: UnreadWork, upstream: string, now: Milliseconds): Milliseconds {
+export function pendingWorkAt(
+  state: PendingWork,
+  upstream: string,
+  now: Milliseconds,
+): Milliseconds {
   let sum = state.own.get(upstream) ?? 0
   for (const { work, receivedAt } of state.received.get(upstream)?.values() ?? [])
     if (now - receivedAt < RECEIVED_LIFETIME) sum += work
@@ -84,17 +88,21 @@
 }
 
 /** The work that a box in this role reports for an upstream. */
-function workToSend(state: UnreadWork, role: WorkRole, upstream: string, now: Milliseconds) {
-  return role === 'relay' ? unreadAt(state, upstream, now) : (state.own.get(upstream) ?? 0)
+function workToSend(state: PendingWork, role: WorkRole, upstream: string, now: Milliseconds) {
+  return role === 'relay' ? pendingWorkAt(state, upstream, now) : (state.own.get(upstream) ?? 0)
 }
 
-function upstreamsOf(state: UnreadWork, role: WorkRole): Set<string> {
+function upstreamsOf(state: PendingWork, role: WorkRole): Set<string> {
   const others = role === 'relay' ? state.received.keys() : []
   return new Set([...state.own.keys(), ...state.lastSent.keys(), ...others])
 }
 
 /** The entries that changed since the last report; marks them as reported. */
-export function changedWork(state: UnreadWork, role: WorkRole, now: Milliseconds): WorkEntry[] {
+export function takeChangedWork(
+  state: PendingWork,
+  role: WorkRole,
+  now: Milliseconds,
+): WorkEntry[] {
   const changed: WorkEntry[] = []
   for (const upstream of upstreamsOf(state, role)) {
     const work = workToSend(state, role, upstream, now)
@@ -107,7 +115,7 @@
 }
 
 /** All non-zero entries, for receivers that may have missed a change. */
-export function allWork(state: UnreadWork, role: WorkRole, now: Milliseconds): WorkEntry[] {
+export function allWork(state: PendingWork, role: WorkRole, now: Milliseconds): WorkEntry[] {
   const entries: WorkEntry[] = []
   for (const upstream of upstreamsOf(state, role)) {
     const work = Math.round(workToSend(state, role, upstream, now))
@@ -117,13 +125,13 @@
 }
 
 /** Clears sent and received reports, since a change of role changes both receivers and senders. */
-export function changeWorkRole(state: UnreadWork): void {
+export function clearReportedWork(state: PendingWork): void {
   state.lastSent.clear()
   state.received.clear()
 }
 
 /** Removes the reports on an upstream that is gone. */
-export function forgetWork(state: UnreadWork, upstream: string): void {
+export function forgetWork(state: PendingWork, upstream: string): void {
   state.received.delete(upstream)
   state.lastSent.delete(upstream)
 }
--- a/packages/decisions/src/listing/upstreamCandidate.ts
+++ b/packages/decisions/src/listing/upstreamCandidate.ts
@@ -9,24 +9,24 @@
   /** Requests in flight: this box's own, and those of others as the upstream reports them. */
   load: number
   /** Estimated pending prefill time at its own pace, over the prompts of all boxes. */
-  waiting: Milliseconds
+  pendingPrefill: Milliseconds
   /** Factor of its prefill times over the estimates; 2 takes twice as long. */
-  slowness: number
+  prefillSlowdown: number
   /** Ejected upstreams are used only when there is no other. */
   isEjected: boolean
 }
 
 /** Estimated prefill cost of a prompt. */
-export interface PromptWork {
+export interface PrefillWork {
   model: string
   /** Prefill time of the whole prompt. */
-  whole: Milliseconds
+  prefillTime: Milliseconds
   /** Prefill time of the prefix shared with other requests. */
-  shared: Milliseconds
+  sharedPrefillTime: Milliseconds
   /** Tokens of the shared prefix. */
   sharedTokens: number
   /** Whether the route also has a smaller model. */
   isLargerModel?: boolean
   /** Identifies the shared prefix for this model; undefined when there is none. */
-  homeKey?: string
+  prefixKey?: string
 }
--- a/packages/decisions/src/listing/upstreamList.ts
+++ b/packages/decisions/src/listing/upstreamList.ts
@@ -24,7 +24,7 @@
 }
 
 /** Identifies one run of an upstream: state recorded for a run ends with it. */
-export function runOf({ id, startedAt }: Pick<ListedUpstream, 'id' | 'startedAt'>): string {
+export function runIdOf({ id, startedAt }: Pick<ListedUpstream, 'id' | 'startedAt'>): string {
   return startedAt === undefined ? id : `${id}@${startedAt}`
 }
 
@@ -51,14 +51,14 @@
 }
 
 /** Records a store outage, during which entries of live upstreams may expire. */
-export function noteListOutage(state: UpstreamListState): void {
+export function recordListOutage(state: UpstreamListState): void {
   state.isStoreOut = true
 }
 
 /**
  * Records that the store answers again; starts the grace period for entries that expired meanwhile.
  */
-export function noteListReturn(state: UpstreamListState, now: Milliseconds): void {
+export function recordListRecovery(state: UpstreamListState, now: Milliseconds): void {
   if (!state.isStoreOut) return
   state.isStoreOut = false
   state.returnedAt = now
@@ -70,7 +70,7 @@
  * upstream stays listed for three heartbeats. Returns the ids of runs that ended; a later run may
  * use the same id.
  */
-export function takeUpstreamList(
+export function applyUpstreamList(
   state: UpstreamListState,
   listed: readonly ListedUpstream[],
   now: Milliseconds,
@@ -86,7 +86,7 @@
   for (const [id, entry] of state.entries) {
     const successor = next.get(id)
     if (successor) {
-      if (runOf(successor) !== runOf(entry)) gone.push(id)
+      if (runIdOf(successor) !== runIdOf(entry)) gone.push(id)
     } else if (inGrace && entry.state === 'ready' && !owners.has(entry.address)) {
       if (!state.missing.has(id)) state.missing.set(id, now)
       next.set(id, entry)
@@ -128,7 +128,7 @@
   known: ListedUpstream | undefined,
 ): ListedUpstream | undefined {
   if (!known) return entry
-  if (runOf(known) === runOf(entry))
+  if (runIdOf(known) === runIdOf(entry))
     return known.state === 'draining' ? { ...entry, state: 'draining' } : entry
   if (known.startedAt === undefined) return entry
   if (entry.startedAt === undefined) return undefined
--- a/packages/decisions/src/listing/workEstimates.ts
+++ b/packages/decisions/src/listing/workEstimates.ts
@@ -5,7 +5,7 @@
  * at a time and stall running streams meanwhile, so pending prefill time measures load better than
  * requests.
  */
-export interface WorkEstimates {
+export interface PrefillEstimates {
   models: Map<string, ModelRate>
 }
 
@@ -25,7 +25,7 @@
  * Initial prefill time of 1,000 tokens for the smallest model of a route. Starting all models alike
  * would queue short prompts behind long-running prefills of the largest until samples arrive.
  */
-const SMALLEST_MODEL_RATE: Milliseconds = 6
+const MIN_MODEL_RATE: Milliseconds = 6
 /** Factor from each model of a route to the next larger one. */
 const RATE_STEP = 3.2
 /** For shorter prompts, network latency dominates the sample. */
@@ -46,15 +46,15 @@
   return tokens * (1 + tokens / COST_DOUBLES_AT_TOKENS)
 }
 
-export function createWorkEstimates(): WorkEstimates {
+export function createPrefillEstimates(): PrefillEstimates {
   return { models: new Map() }
 }
 
 /** Initialises the rates of a route's models, ordered from the smallest; known rates stay. */
-export function expectModels(estimates: WorkEstimates, models: readonly string[]): void {
+export function initialiseModelRates(estimates: PrefillEstimates, models: readonly string[]): void {
   for (const [rank, model] of models.entries())
     if (!estimates.models.has(model))
-      estimates.models.set(model, createModelRate(SMALLEST_MODEL_RATE * RATE_STEP ** rank))
+      estimates.models.set(model, createModelRate(MIN_MODEL_RATE * RATE_STEP ** rank))
 }
 
 function createModelRate(rate: Milliseconds): ModelRate {
@@ -62,8 +62,8 @@
 }
 
 /** Estimated prefill time of a prompt without prefix cache hits. */
-export function unkeptWorkOf(
-  estimates: WorkEstimates,
+export function uncachedPrefillTimeOf(
+  estimates: PrefillEstimates,
   model: string,
   tokens: number,
 ): Milliseconds {
@@ -72,7 +72,11 @@
 }
 
 /** Estimated prefill time of a prompt at the usual prefix cache hit rate. */
-export function workOf(estimates: WorkEstimates, model: string, tokens: number): Milliseconds {
+export function prefillTimeOf(
+  estimates: PrefillEstimates,
+  model: string,
+  tokens: number,
+): Milliseconds {
   const rate = estimates.models.get(model)?.rate ?? DEFAULT_RATE
   return (rate * effectiveTokens(tokens)) / 1_000
 }
@@ -84,8 +88,8 @@
 }
 
 /** Samples the time to first token of a prompt. */
-export function noteFirstEvent(
-  estimates: WorkEstimates,
+export function sampleFirstToken(
+  estimates: PrefillEstimates,
   model: string,
   { tokens, sharedTokens }: PromptSize,
   timeToFirstToken: Milliseconds,
--- a/packages/decisions/src/membership/drain.ts
+++ b/packages/decisions/src/membership/drain.ts
@@ -30,7 +30,7 @@
 }
 
 /** Whether new requests are accepted. */
-export function takesNewRequests(state: DrainState): boolean {
+export function acceptsNewRequests(state: DrainState): boolean {
   return state.step === 'serving' || state.step === 'unlisted'
 }
 
--- a/packages/decisions/src/node/systemClock.ts
+++ b/packages/decisions/src/node/systemClock.ts
@@ -4,7 +4,7 @@
 /** Drift of wall time against monotonic time; more means a suspension or a clock change. */
 const DRIFT_TOLERANCE: Milliseconds = 20
 /** Shorter differences are read skew between the sources. */
-const MINIMUM_SUSPENSION: Milliseconds = 20
+const MIN_SUSPENSION: Milliseconds = 20
 /** Bounds the detection of a suspension that a simultaneous change of the wall time masks. */
 const BOOT_TIME_CHECK_INTERVAL: Milliseconds = 250
 
@@ -54,7 +54,7 @@
 
   function checkBootTime(steadyNow: Milliseconds): void {
     const measured = bootTime() - steadyNow - offset
-    if (measured < suspended + MINIMUM_SUSPENSION) return
+    if (measured < suspended + MIN_SUSPENSION) return
     suspended = measured
     rearmTimers(steadyNow + suspended)
   }
--- a/packages/decisions/src/placement/planPlacement.ts
+++ b/packages/decisions/src/placement/planPlacement.ts
@@ -11,7 +11,7 @@
   /** `model@version` names that it is verified to run. */
   serves: readonly string[]
   /** Number of versions that it can hold. */
-  room: number
+  capacity: number
   /** Requests in flight there, over all boxes. */
   inFlight: number
   /** Whether it rejects commands with a stale fencing token. */
@@ -19,7 +19,7 @@
   /** Version that it is loading. */
   loading?: string
   /** Whether it drains before a change of version: boxes send it no new work. */
-  emptying: boolean
+  isDraining: boolean
 }
 
 /** Number of engines wanted for a version. */
@@ -85,11 +85,13 @@
   const wanted = new Map(demands.map(demand => [demand.version, demand.engines]))
   const counts = countServing(engines)
   let loads = engines.filter(engine => engine.loading !== undefined).length
-  let unavailable = engines.filter(engine => engine.emptying || engine.loading !== undefined).length
+  let unavailable = engines.filter(
+    engine => engine.isDraining || engine.loading !== undefined,
+  ).length
   const maxUnavailable = Math.max(1, Math.floor(engines.length * limits.missingShare))
 
   for (const engine of engines) {
-    if (engine.emptying && engine.loading === undefined && !needsChange(engine, wanted, counts)) {
+    if (engine.isDraining && engine.loading === undefined && !needsChange(engine, wanted, counts)) {
       steps.push({ step: 'refill', engine: engine.id })
     }
   }
@@ -100,7 +102,7 @@
       const candidate = pickEngine(engines, version, wanted, counts, used)
       if (!candidate) break
       lacking--
-      if (candidate.serves.length < candidate.room) {
+      if (candidate.serves.length < candidate.capacity) {
         if (loads >= limits.parallelLoads) break
         loads++
         steps.push({ step: 'load', engine: candidate.id, version })
@@ -108,7 +110,7 @@
       }
       const unload = mostSurplusVersion(candidate, wanted, counts)
       if (!unload) break
-      if (!candidate.emptying) {
+      if (!candidate.isDraining) {
         if (unavailable >= maxUnavailable) break
         unavailable++
         steps.push({ step: 'empty', engine: candidate.id, forVersion: version })
@@ -154,12 +156,13 @@
   used: ReadonlySet<string>,
 ): PlacedEngine | undefined {
   const rank = (engine: PlacedEngine) =>
-    (engine.emptying ? 0 : engine.serves.length < engine.room ? 1 : 2) * 1e6 + engine.inFlight
+    (engine.isDraining ? 0 : engine.serves.length < engine.capacity ? 1 : 2) * 1e6 + engine.inFlight
   return engines
     .filter(engine => !used.has(engine.id) && engine.loading === undefined)
     .filter(engine => !engine.serves.includes(version))
     .filter(
-      engine => engine.serves.length < engine.room || mostSurplusVersion(engine, wanted, counts),
+      engine =>
+        engine.serves.length < engine.capacity || mostSurplusVersion(engine, wanted, counts),
     )
     .sort((left, right) => rank(left) - rank(right))[0]
 }
--- a/packages/decisions/src/rollouts/admittedVersions.ts
+++ b/packages/decisions/src/rollouts/admittedVersions.ts
@@ -37,7 +37,7 @@
  * Adds the exclusion of rejected versions to `admits`, unless that would exclude every ready
  * version: serving a rolled-back version is better than serving none.
  */
-export function withoutRejected(
+export function excludeRejected(
   rejected: readonly string[],
   admits: (version: string) => boolean,
   ready: Iterable<string>,
--- a/packages/decisions/src/rollouts/recentTimes.ts
+++ b/packages/decisions/src/rollouts/recentTimes.ts
@@ -3,44 +3,44 @@
  * answers to the same work. Callers leave out samples of the version on trial, so that it can't
  * shift its own baseline.
  */
-export interface RecentTimes {
+export interface RecentDurations {
   samples: number[]
   /** Index of the oldest sample, which the next one overwrites. */
   oldestIndex: number
 }
 
 /** Small, so that the baseline follows the current load. */
-const MAXIMUM_SAMPLES = 32
+const MAX_SAMPLES = 32
 /** `isSlow` is undecided below this. */
-const MINIMUM_SAMPLES = 8
+const MIN_SAMPLES = 8
 /** An answer is slow if it takes longer than a quantile of the baseline times a factor. */
 export interface SlowLimit {
   /** Quantile of the baseline, 0 to 1. */
-  part: number
+  quantile: number
   /** Factor by which the quantile is multiplied. */
-  times: number
+  factor: number
 }
 
-export function createRecentTimes(): RecentTimes {
+export function createRecentDurations(): RecentDurations {
   return { samples: [], oldestIndex: 0 }
 }
 
-export function noteTime(times: RecentTimes, sample: number): void {
-  if (times.samples.length < MAXIMUM_SAMPLES) {
+export function recordDuration(times: RecentDurations, sample: number): void {
+  if (times.samples.length < MAX_SAMPLES) {
     times.samples.push(sample)
     return
   }
   times.samples[times.oldestIndex] = sample
-  times.oldestIndex = (times.oldestIndex + 1) % MAXIMUM_SAMPLES
+  times.oldestIndex = (times.oldestIndex + 1) % MAX_SAMPLES
 }
 
 /** Whether a sample exceeds the limit; undefined with too few samples. */
 export function isSlow(
-  { samples }: RecentTimes,
+  { samples }: RecentDurations,
   sample: number,
-  { part, times }: SlowLimit,
+  { quantile, factor }: SlowLimit,
 ): boolean | undefined {
-  if (samples.length < MINIMUM_SAMPLES) return undefined
+  if (samples.length < MIN_SAMPLES) return undefined
   const sorted = [...samples].sort((left, right) => left - right)
-  return sample > times * sorted[Math.floor(part * (sorted.length - 1))]!
+  return sample > factor * sorted[Math.floor(quantile * (sorted.length - 1))]!
 }
--- a/packages/decisions/src/rollouts/rollout.ts
+++ b/packages/decisions/src/rollouts/rollout.ts
@@ -29,13 +29,13 @@
 }
 
 /** Whether the status belongs to this order, not to an earlier one. */
-export function isOf(status: RolloutStatus | undefined, order: RolloutOrder): boolean {
+export function belongsToOrder(status: RolloutStatus | undefined, order: RolloutOrder): boolean {
   return status !== undefined && status.target === order.target && status.revision > order.revision
 }
 
 /** Whether the rollout was completed or rolled back. */
-export function isOver(order: RolloutOrder, status: RolloutStatus | undefined): boolean {
-  return status !== undefined && isOf(status, order) && status.state !== 'active'
+export function isRolloutFinished(order: RolloutOrder, status: RolloutStatus | undefined): boolean {
+  return status !== undefined && belongsToOrder(status, order) && status.state !== 'active'
 }
 
 /** Versions that were rolled back and not ordered again; they must not serve. */
@@ -45,7 +45,7 @@
 ): readonly string[] {
   if (!status) return []
   const earlier = status.rejected ?? []
-  const isPast = !order || !isOf(status, order)
+  const isPast = !order || !belongsToOrder(status, order)
   const rejected =
     status.state === 'rolled-back' && isPast ? [...earlier, status.target] : [...earlier]
   return [...new Set(rejected)].filter(version => version !== order?.target)
@@ -62,9 +62,9 @@
 /** Fraction of the duration, counted at the trial share, that the lower early share saves. */
 const EARLY_SAVED_FRACTION = SESSION_MOVE_FRACTION * (1 - EARLY_SHARE_FACTOR)
 /** Upper bound whatever the exposure limit; a larger sample isn't needed to judge a version. */
-const MAXIMUM_TRIAL_SHARE = 0.2
+const MAX_TRIAL_SHARE = 0.2
 /** Lower bound, used even if the duration is too short for the exposure limit. */
-const MINIMUM_TRIAL_SHARE = 0.01
+const MIN_TRIAL_SHARE = 0.01
 /** Fraction of the duration in which the share grows from the trial share to 1. */
 const GROWTH_FRACTION = 0.015
 /** Fraction of the exposure limit that is planned for; boxes see each step at different times. */
@@ -80,8 +80,8 @@
  * the trial.
  */
 const DRAIN_FRACTION = 0.02
-const MINIMUM_DRAIN: Milliseconds = 500
-const MAXIMUM_DRAIN: Milliseconds = 10_000
+const MIN_DRAIN_DURATION: Milliseconds = 500
+const MAX_DRAIN_DURATION: Milliseconds = 10_000
 
 /**
  * Setting: largest share of a service's requests during a rollout that a bad version may get, 0 to
@@ -106,12 +106,15 @@
  */
 export function planRamp({ duration }: RolloutOrder, limit: ExposureLimit): RampPlan {
   const completeFrom = 1 - COMPLETION_MARGIN / duration
-  const drain = Math.min(MAXIMUM_DRAIN, Math.max(MINIMUM_DRAIN, DRAIN_FRACTION * duration))
+  const drain = Math.min(
+    MAX_DRAIN_DURATION,
+    Math.max(MIN_DRAIN_DURATION, DRAIN_FRACTION * duration),
+  )
   const fullTrafficFrom = completeFrom - drain / duration
   const trialExposure = PLANNED_LIMIT_FRACTION * limit - GROWTH_FRACTION / 2 - (1 - fullTrafficFrom)
   const trialShare = trialExposure / (fullTrafficFrom - EARLY_SAVED_FRACTION)
   return {
-    trialShare: Math.min(MAXIMUM_TRIAL_SHARE, Math.max(MINIMUM_TRIAL_SHARE, trialShare)),
+    trialShare: Math.min(MAX_TRIAL_SHARE, Math.max(MIN_TRIAL_SHARE, trialShare)),
     fullTrafficFrom,
     completeFrom,
   }
@@ -128,7 +131,7 @@
   limit: ExposureLimit,
   isDoubted = false,
 ): number {
-  if (!status || !isOf(status, order)) return 0
+  if (!status || !belongsToOrder(status, order)) return 0
   if (status.state === 'completed') return 1
   if (status.state === 'rolled-back') return 0
   const { trialShare, fullTrafficFrom } = planRamp(order, limit)
@@ -167,7 +170,7 @@
   status: RolloutStatus | undefined,
   storeNow: Milliseconds,
 ): boolean {
-  if (!status || !isOf(status, order) || status.state !== 'active') return true
+  if (!status || !belongsToOrder(status, order) || status.state !== 'active') return true
   return elapsedFraction(order, status, storeNow) < SESSION_MOVE_FRACTION
 }
 
@@ -181,18 +184,19 @@
   /** Whether the target is significantly worse than the other versions. */
   isTargetBad: boolean
   /** Whether the evidence suggests that the target is worse, without being significant. */
-  isTargetDoubted: boolean
+  isTargetProbablyBad: boolean
   limit: ExposureLimit
 }
 
 /** The state to write; undefined to keep the present one. */
 export function decideRollout(view: RolloutView): RolloutState | undefined {
   const { order, status, storeNow, isTargetBad } = view
-  if (!status || !isOf(status, order)) return view.targetUpstreams > 0 ? 'active' : undefined
+  if (!status || !belongsToOrder(status, order))
+    return view.targetUpstreams > 0 ? 'active' : undefined
   if (status.state !== 'active') return undefined
   if (isTargetBad) return 'rolled-back'
   if (view.targetUpstreams === 0) return undefined
   const { completeFrom } = planRamp(order, view.limit)
   if (elapsedFraction(order, status, storeNow) < completeFrom) return undefined
-  return view.isTargetDoubted ? 'rolled-back' : 'completed'
+  return view.isTargetProbablyBad ? 'rolled-back' : 'completed'
 }
--- a/packages/decisions/src/rollouts/versionEvidence.ts
+++ b/packages/decisions/src/rollouts/versionEvidence.ts
@@ -72,17 +72,17 @@
    */
   excludedFraction: number
   /** Fewest upstreams with answers; lower if the version has fewer than twice as many upstreams. */
-  minimumUpstreams: number
+  minUpstreams: number
   /** Fewest bad answers. */
-  minimumBad: number
+  minBad: number
   /** Whether to test each route on its own too. */
   byRoute: boolean
 }
 
 /** Fewer failures may be chance. */
-const MINIMUM_FAILURES = 4
+const MIN_FAILURES = 4
 /** Higher than for failures, since one long prompt slows all answers that run beside it. */
-const MINIMUM_SLOW_ANSWERS = 10
+const MIN_SLOW_ANSWERS = 10
 /**
  * Latency must be shown by many upstreams: load balancing sends less to slow upstreams of the
  * established versions but not to those on trial, and slow upstreams aren't ejected as failing ones
@@ -91,8 +91,8 @@
 const LATENCY_TEST_OPTIONS = {
   alpha: 0.005,
   excludedFraction: 1 / 4,
-  minimumUpstreams: 6,
-  minimumBad: MINIMUM_SLOW_ANSWERS,
+  minUpstreams: 6,
+  minBad: MIN_SLOW_ANSWERS,
   byRoute: false,
 }
 const VERSION_TESTS: readonly VersionTest[] = [
@@ -101,8 +101,8 @@
     alpha: 0.01,
     tolerance: 0.02,
     excludedFraction: 1 / 6,
-    minimumUpstreams: 2,
-    minimumBad: MINIMUM_FAILURES,
+    minUpstreams: 2,
+    minBad: MIN_FAILURES,
     byRoute: true,
   },
   { aspects: ['start'], tolerance: 0.05, ...LATENCY_TEST_OPTIONS },
@@ -114,7 +114,7 @@
 
 /** Log likelihood ratio above which a version is doubted and not completed: 3 to 1. */
 const DOUBT_LOG_EVIDENCE = Math.log(3)
-const MINIMUM_BAD_FOR_DOUBT = 3
+const MIN_BAD_FOR_PROBABLE_FAULT = 3
 /** Weaker than the main test, since it only confirms that result without the worst upstreams. */
 const EXCLUSION_ALPHA = 0.05
 
@@ -123,7 +123,7 @@
 }
 
 /** Records the counts of a box. Returns whether any bad answers were added. */
-export function takeAnswerCounts(
+export function recordAnswerCounts(
   ledger: EvidenceLedger,
   box: string,
   counts: readonly AnswerCount[],
@@ -203,7 +203,7 @@
  * Evidence that a version is probably worse. Needs less evidence than `findVersionFault`, since it
  * is used when the trial is over instead of continuously. Undefined with little or no evidence.
  */
-export function findVersionDoubt(
+export function findProbableFault(
   ledger: EvidenceLedger,
   version: string,
   upstreams: number,
@@ -272,11 +272,11 @@
   upstreams: number,
   test: VersionTest,
 ): boolean {
-  if (sumCells(candidate).bad < test.minimumBad) return false
+  if (sumCells(candidate).bad < test.minBad) return false
   const baseline = mergeCells(others)
   if (!isSignificantlyWorse(mergeCells(candidate), baseline, test)) return false
   if (upstreams <= 1) return true
-  if (countUpstreams(candidate) < Math.min(test.minimumUpstreams, Math.ceil(upstreams / 2)))
+  if (countUpstreams(candidate) < Math.min(test.minUpstreams, Math.ceil(upstreams / 2)))
     return false
   const rest = excludeWorstUpstreams(candidate, test)
   return isSignificantlyWorse(mergeCells(rest), baseline, { ...test, alpha: EXCLUSION_ALPHA })
@@ -288,7 +288,7 @@
   upstreams: number,
   test: VersionTest,
 ): boolean {
-  if (sumCells(candidate).bad < MINIMUM_BAD_FOR_DOUBT) return false
+  if (sumCells(candidate).bad < MIN_BAD_FOR_PROBABLE_FAULT) return false
   const baseline = mergeCells(others)
   const selected = upstreams <= 1 ? candidate : excludeWorstUpstreams(candidate, test)
   return totalLogEvidence(mergeCells(selected), baseline, test.tolerance ?? 0) > DOUBT_LOG_EVIDENCE
--- a/packages/decisions/src/sessions/sessionToken.ts
+++ b/packages/decisions/src/sessions/sessionToken.ts
@@ -28,7 +28,7 @@
 /** `forged`: unknown key or wrong signature. `foreign`: signed for another organisation. */
 export type SessionFault = 'malformed' | 'forged' | 'foreign'
 
-const MAXIMUM_TOKEN_LENGTH = 4_096
+const MAX_TOKEN_LENGTH = 4_096
 
 /**
  * Signs a session with the first key of the ring.
@@ -49,7 +49,7 @@
   organisation: string,
   ring: readonly SigningKey[],
 ): Result<Session, SessionFault> {
-  if (token.length > MAXIMUM_TOKEN_LENGTH) return Result.err('malformed')
+  if (token.length > MAX_TOKEN_LENGTH) return Result.err('malformed')
   const [keyId, payload, signature, ...rest] = token.split('.')
   if (!keyId || !payload || !signature || rest.length > 0) return Result.err('malformed')
   const key = ring.find(key => key.id === keyId)
--- a/packages/decisions/src/upstreams/chooseUpstream.ts
+++ b/packages/decisions/src/upstreams/chooseUpstream.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from '../types/clock.js'
 import type { Random } from '../types/random.js'
-import { predictFirstToken, predictLoad, type RequestOutlook } from './predictLoad.js'
-import { takesWork, type UpstreamView } from './upstreamView.js'
+import { predictFirstToken, predictLoad, type RequestProfile } from './predictLoad.js'
+import { acceptsWork, type UpstreamView } from './upstreamView.js'
 
 /** Input of a strategy. */
 export interface UpstreamChoice {
@@ -9,7 +9,7 @@
   pool: readonly UpstreamView[]
   /** Upstreams that likely have a prefix of the prompt cached, best match first. */
   affine: readonly UpstreamView[]
-  request: RequestOutlook
+  request: RequestProfile
   /** Ids of upstreams not to choose. */
   excluded: ReadonlySet<string>
   now: Milliseconds
@@ -84,7 +84,7 @@
 }
 
 function isEligible(choice: UpstreamChoice, view: UpstreamView): boolean {
-  return !choice.excluded.has(view.id) && takesWork(view, choice.now)
+  return !choice.excluded.has(view.id) && acceptsWork(view, choice.now)
 }
 
 function leastBy(
--- a/packages/decisions/src/upstreams/predictLoad.ts
+++ b/packages/decisions/src/upstreams/predictLoad.ts
@@ -24,7 +24,7 @@
 }
 
 /** Request properties that affect the first-token time. */
-export interface RequestOutlook {
+export interface RequestProfile {
   /** Data centre of this box. */
   dataCentre: string
   promptTokens: number
@@ -42,7 +42,7 @@
 /** Estimated first-token time for a request sent to the upstream now. */
 export function predictFirstToken(
   view: UpstreamView,
-  request: RequestOutlook,
+  request: RequestProfile,
   now: Milliseconds,
 ): Milliseconds {
   const uncached = Math.max(0, request.promptTokens - request.cachedTokensOf(view.id))
--- a/packages/decisions/src/upstreams/prefixMap.ts
+++ b/packages/decisions/src/upstreams/prefixMap.ts
@@ -24,7 +24,7 @@
   }
 
   /** Records that an upstream has the blocks cached, and marks them as recently used. */
-  note(blocks: readonly number[], upstream: string): void {
+  record(blocks: readonly number[], upstream: string): void {
     for (const block of blocks) {
       const others = (this.#holders.get(block) ?? []).filter(holder => holder !== upstream)
       this.#holders.delete(block)
--- a/packages/decisions/src/upstreams/upstreamView.ts
+++ b/packages/decisions/src/upstreams/upstreamView.ts
@@ -1,4 +1,4 @@
-import { NO_REST, restUntil } from '../budgets/rest.js'
+import { NO_BACK_OFF, extendBackOff } from '../budgets/rest.js'
 import type { Milliseconds } from '../types/clock.js'
 
 export type UpstreamKind = 'engine' | 'service'
@@ -40,7 +40,7 @@
   requestMilliseconds: number
   health: UpstreamHealth
   /** End of the back-off that the upstream requested, if any. */
-  restUntil: Milliseconds
+  backOffUntil: Milliseconds
 }
 
 /** Circuit breaker state of an upstream, by the outcomes of its requests. */
@@ -77,7 +77,7 @@
     firstTokenMilliseconds: 200,
     requestMilliseconds: 2_000,
     health: { state: 'healthy', failures: 0, ejectedUntil: 0, ejections: 0 },
-    restUntil: NO_REST,
+    backOffUntil: NO_BACK_OFF,
   }
 }
 
@@ -85,8 +85,8 @@
  * Whether new work may go to the upstream. A probing one gets one request at a time. Moves an
  * ejected upstream whose ejection has expired to `probing`.
  */
-export function takesWork(view: UpstreamView, now: Milliseconds): boolean {
-  if (view.state !== 'live' || now < view.restUntil) return false
+export function acceptsWork(view: UpstreamView, now: Milliseconds): boolean {
+  if (view.state !== 'live' || now < view.backOffUntil) return false
   if (view.health.state === 'healthy') return true
   if (view.health.state === 'probing') return view.inFlight === 0
   if (now < view.health.ejectedUntil) return false
@@ -94,18 +94,18 @@
   return true
 }
 
-export function noteSent(view: UpstreamView, now: Milliseconds): void {
+export function recordSend(view: UpstreamView, now: Milliseconds): void {
   view.inFlight++
-  noteHistory(view, now)
+  recordHistory(view, now)
 }
 
-export function noteEnded(view: UpstreamView, now: Milliseconds): void {
+export function recordEnd(view: UpstreamView, now: Milliseconds): void {
   view.inFlight--
-  noteHistory(view, now)
+  recordHistory(view, now)
 }
 
 /** Applies a load report, compared with this box's in-flight count at the time it was made. */
-export function noteReport(view: UpstreamView, report: LoadReport): void {
+export function recordReport(view: UpstreamView, report: LoadReport): void {
   const later = view.history.findIndex(entry => entry.at > report.at)
   const known = later === -1 ? view.history.at(-1) : view.history[later - 1]
   view.inFlightAtReport = known?.inFlight ?? view.inFlightAtReport
@@ -119,12 +119,12 @@
   return Math.max(0, view.report.running + view.report.waiting - view.inFlightAtReport)
 }
 
-function noteHistory(view: UpstreamView, now: Milliseconds): void {
+function recordHistory(view: UpstreamView, now: Milliseconds): void {
   view.history.push({ at: now, inFlight: view.inFlight })
   if (view.history.length > MAX_HISTORY) view.history.shift()
 }
 
-export function noteFirstToken(
+export function recordFirstToken(
   view: UpstreamView,
   waited: Milliseconds,
   expectedQueue: Milliseconds,
@@ -133,7 +133,7 @@
   view.firstTokenMilliseconds += EWMA_WEIGHT * (sample - view.firstTokenMilliseconds)
 }
 
-export function noteSuccess(view: UpstreamView, duration: Milliseconds): void {
+export function recordSuccess(view: UpstreamView, duration: Milliseconds): void {
   view.requestMilliseconds += EWMA_WEIGHT * (duration - view.requestMilliseconds)
   view.health = { state: 'healthy', failures: 0, ejectedUntil: 0, ejections: 0 }
 }
@@ -142,15 +142,15 @@
  * Records a rejection with a requested back-off. Not counted as a failure, since an ejection could
  * last longer than the back-off.
  */
-export function noteAskedRest(view: UpstreamView, span: Milliseconds, now: Milliseconds): void {
-  view.restUntil = restUntil(view.restUntil, span, now)
+export function noteBackOff(view: UpstreamView, span: Milliseconds, now: Milliseconds): void {
+  view.backOffUntil = extendBackOff(view.backOffUntil, span, now)
 }
 
 /**
  * Counts a failure caused by the upstream. Consecutive failures eject it, with exponential
  * back-off.
  */
-export function noteFailure(view: UpstreamView, now: Milliseconds): void {
+export function recordFailure(view: UpstreamView, now: Milliseconds): void {
   const health = view.health
   health.failures++
   const shouldEject = health.state === 'probing' || health.failures >= FAILURES_TO_EJECT
--- a/packages/decisions/test/coldLoad.test.ts
+++ b/packages/decisions/test/coldLoad.test.ts
@@ -4,7 +4,7 @@
   createSeededRandom,
   hashText,
   sendersOf,
-  type BoxPlace,
+  type BoxLocation,
   type Milliseconds,
 } from '../src/index.js'
 
@@ -37,7 +37,7 @@
   sentInTime: number
 }
 
-const boxes: BoxPlace[] = Array.from({ length: BOXES }, (_, at) => ({
+const boxes: BoxLocation[] = Array.from({ length: BOXES }, (_, at) => ({
   box: `box-${at}`,
   dataCentre: DATA_CENTRES[at % DATA_CENTRES.length]!,
 }))
@@ -104,7 +104,7 @@
 /**
  * The production policy: few senders for each engine. `seen` returns the boxes that a box knows.
  */
-function fewSenders(seen: (box: number) => readonly BoxPlace[]): MaySend {
+function fewSenders(seen: (box: number) => readonly BoxLocation[]): MaySend {
   const share = coldShareOf(LIMIT)
   const drawn = new Map<string, boolean>()
   return spaced(share.interval, (box, engine) => {
--- a/packages/decisions/test/exposure.test.ts
+++ b/packages/decisions/test/exposure.test.ts
@@ -3,7 +3,7 @@
   addEvidence,
   createEvidenceStore,
   createSeededRandom,
-  foldOldEvidence,
+  mergeOldBlocks,
   isHalted,
   judgeVersions,
   liftHalt,
@@ -39,8 +39,7 @@
       { served: 1, ...outcome },
     )
     const judgements = judgeVersions(totalEvidence(store), new Map(), [OLD_VERSION, NEW_VERSION])
-    if (judgements.some(({ version, shownWorse }) => version === NEW_VERSION && shownWorse))
-      return rated
+    if (judgements.some(({ version, isWorse }) => version === NEW_VERSION && isWorse)) return rated
   }
   return undefined
 }
@@ -67,7 +66,7 @@
     )
     addEvidence(store, { version: NEW_VERSION, kind: 'k', block: 2 }, { served: 60 })
     const judgements = judgeVersions(totalEvidence(store), new Map(), [OLD_VERSION, NEW_VERSION])
-    expect(judgements.find(({ version }) => version === NEW_VERSION)?.room).to.equal(0)
+    expect(judgements.find(({ version }) => version === NEW_VERSION)?.headroom).to.equal(0)
   })
 })
 
@@ -92,7 +91,7 @@
     const store = createEvidenceStore('a/1')
     for (let block = 0; block < 50; block++)
       addEvidence(store, { version: OLD_VERSION, kind: 'k', block }, { good: 1 })
-    foldOldEvidence(store, 49)
+    mergeOldBlocks(store, 49)
     expect(totalEvidence(store).get(OLD_VERSION)?.get('k')?.get(OLDER_BLOCK)?.good).to.equal(20)
     expect(store.counters.size).to.equal(31)
   })
--- a/packages/decisions/test/placement.test.ts
+++ b/packages/decisions/test/placement.test.ts
@@ -5,10 +5,10 @@
   return Array.from({ length: count }, (_, index) => ({
     id: `engine-${index}`,
     serves: [...serves],
-    room: 1,
+    capacity: 1,
     inFlight: 0,
     checksFence: true,
-    emptying: false,
+    isDraining: false,
   }))
 }
 
@@ -17,8 +17,8 @@
   const steps = planPlacement(placed, demands, { parallelLoads: 2, missingShare: 0.25 })
   for (const step of steps) {
     const engine = placed.find(engine => engine.id === step.engine)!
-    if (step.step === 'empty') engine.emptying = true
-    if (step.step === 'refill') engine.emptying = false
+    if (step.step === 'empty') engine.isDraining = true
+    if (step.step === 'refill') engine.isDraining = false
     if (step.step === 'load') {
       engine.serves = engine.serves.filter(version => version !== step.unload)
       engine.loading = step.version
@@ -44,20 +44,20 @@
     const placed = engines(8, ['m@1'])
     for (let round = 0; round < 40; round++) {
       applySteps(placed, demands)
-      const unavailable = placed.filter(engine => engine.emptying || engine.loading !== undefined)
+      const unavailable = placed.filter(engine => engine.isDraining || engine.loading !== undefined)
       expect(unavailable.length).to.be.at.most(2)
       finishLoads(placed)
     }
     const count = (version: string) =>
       placed.filter(engine => engine.serves.includes(version)).length
     expect([count('m@1'), count('m@2')]).to.deep.equal([4, 4])
-    expect(placed.some(engine => engine.emptying)).to.equal(false)
+    expect(placed.some(engine => engine.isDraining)).to.equal(false)
   })
 
   it('does not unload a version from an engine with requests in flight', () => {
     const placed = engines(4, ['m@1'])
     applySteps(placed, demands)
-    const draining = placed.filter(engine => engine.emptying)
+    const draining = placed.filter(engine => engine.isDraining)
     for (const engine of draining) engine.inFlight = 1
     applySteps(placed, demands)
     expect(placed.some(engine => engine.loading !== undefined)).to.equal(false)
--- a/packages/decisions/test/placingLoad.test.ts
+++ b/packages/decisions/test/placingLoad.test.ts
@@ -4,7 +4,7 @@
   hashText,
   pickUpstream,
   type Milliseconds,
-  type PromptWork,
+  type PrefillWork,
   type Random,
   type UpstreamCandidate,
 } from '../src/index.js'
@@ -48,8 +48,8 @@
     },
     nameHash: hashText(id),
     load: 0,
-    waiting: 0,
-    slowness: 1,
+    pendingPrefill: 0,
+    prefillSlowdown: 1,
     isEjected: false,
     freeAt: 0,
     sent: [],
@@ -110,14 +110,14 @@
     const reported = engine.sent.filter(
       ({ from, at }) => from === dataCentre && at < now - REPORT_DELAY,
     )
-    engine.waiting = reported.length * UNSHARED_PREFILL
+    engine.pendingPrefill = reported.length * UNSHARED_PREFILL
   }
-  const prompt: PromptWork = {
+  const prompt: PrefillWork = {
     model: 'm',
-    whole: SHARED_PREFILL + UNSHARED_PREFILL,
-    shared: SHARED_PREFILL,
+    prefillTime: SHARED_PREFILL + UNSHARED_PREFILL,
+    sharedPrefillTime: SHARED_PREFILL,
     sharedTokens: 13_000,
-    homeKey: `m ${prefix}`,
+    prefixKey: `m ${prefix}`,
   }
   const options = { dataCentre, random, prompt, knowsFarWork: false, bodyBytes: BODY_BYTES }
   return pickUpstream(engines, options)!
--- a/packages/decisions/test/routing.test.ts
+++ b/packages/decisions/test/routing.test.ts
@@ -11,13 +11,13 @@
   keepsSessions,
   createConfidenceGains,
   nextModel,
-  noteConfidences,
-  noteRequest,
+  recordConfidences,
+  recordRequest,
   retryShareOf,
   ringNeighbours,
   takeRetry,
   targetShare,
-  vouchedAt,
+  earliestProofAt,
   type CascadeStep,
   type Confirmation,
   type Configuration,
@@ -94,7 +94,7 @@
           const peerReceivedAt = delay + offset
           const peerReadAt = peerReceivedAt - readAge
           const peerSentAt = peerReceivedAt + wait
-          const bound = vouchedAt({ echo: 0, heldFor: wait, age: peerSentAt - peerReadAt })
+          const bound = earliestProofAt({ echo: 0, heldFor: wait, age: peerSentAt - peerReadAt })
           const readOnOwnClock = peerReadAt - offset
           expect(bound).to.be.at.most(readOnOwnClock)
         },
@@ -111,7 +111,7 @@
         let retries = 0
         for (const requests of requestsByBox) {
           const share = createRetryShare({ limits, slackFrom: 0 })
-          for (let count = 0; count < requests; count++) noteRequest(share, 5_000)
+          for (let count = 0; count < requests; count++) recordRequest(share, 5_000)
           while (takeRetry(share, requestsByBox.length, 5_000)) retries++
         }
         const total = requestsByBox.reduce((sum, count) => sum + count, 0)
@@ -125,10 +125,10 @@
       limits: { ratio: 0.5, slack: 0, window: 10_000 },
       slackFrom: 0,
     })
-    for (let count = 0; count < 10; count++) noteRequest(share, 0)
+    for (let count = 0; count < 10; count++) recordRequest(share, 0)
     while (takeRetry(share, 1, 0));
     expect(takeRetry(share, 1, 9_000)).to.equal(false)
-    for (let count = 0; count < 10; count++) noteRequest(share, 11_000)
+    for (let count = 0; count < 10; count++) recordRequest(share, 11_000)
     expect(takeRetry(share, 1, 11_000)).to.equal(true)
   })
 })
@@ -149,8 +149,8 @@
       limits: { ratio: 0.9, slack: 0, window: 10_000 },
       slackFrom: 0,
     })
-    for (let count = 0; count < 100; count++) noteRequest(retryShareOf(shares, 'desk'), 0)
-    for (let count = 0; count < 10; count++) noteRequest(retryShareOf(shares, 'pool'), 0)
+    for (let count = 0; count < 100; count++) recordRequest(retryShareOf(shares, 'desk'), 0)
+    for (let count = 0; count < 10; count++) recordRequest(retryShareOf(shares, 'pool'), 0)
     let retries = 0
     while (takeRetry(retryShareOf(shares, 'pool'), 1, 0)) retries++
     expect(retries).to.be.within(8, 9)
@@ -199,7 +199,7 @@
   it('learns the expected confidence of a middle model', () => {
     const gains = createConfidenceGains()
     for (let count = 0; count < 100; count++)
-      noteConfidences(
+      recordConfidences(
         gains,
         { model: 'small', confidence: 52 },
         { model: 'middle', confidence: 54 },
@@ -231,7 +231,7 @@
     status: active,
     targetUpstreams: 3,
     isTargetBad: false,
-    isTargetDoubted: false,
+    isTargetProbablyBad: false,
     limit: LIMIT,
   }
 
@@ -286,7 +286,13 @@
   })
 
   it('starts once an upstream serves the target, and completes shortly before the end of its duration', () => {
-    const first = { order, storeNow: 0, isTargetBad: false, isTargetDoubted: false, limit: LIMIT }
+    const first = {
+      order,
+      storeNow: 0,
+      isTargetBad: false,
+      isTargetProbablyBad: false,
+      limit: LIMIT,
+    }
     expect(decideRollout({ ...first, targetUpstreams: 0 })).to.equal(undefined)
     expect(decideRollout({ ...first, targetUpstreams: 1 })).to.equal('active')
     expect(decideRollout({ ...view, storeNow: 20_000 })).to.equal(undefined)
@@ -296,7 +302,7 @@
   it('does not raise the share of a doubted version, and rolls it back at the end', () => {
     const trial = targetShare(order, active, 18_000, LIMIT)
     expect(targetShare(order, active, 20_000, LIMIT, true)).to.equal(trial)
-    const doubted = { ...view, isTargetDoubted: true }
+    const doubted = { ...view, isTargetProbablyBad: true }
     expect(decideRollout({ ...doubted, storeNow: 20_000 })).to.equal(undefined)
     expect(decideRollout({ ...doubted, storeNow: 20_300 })).to.equal('rolled-back')
   })
--- a/packages/decisions/test/statedLimit.test.ts
+++ b/packages/decisions/test/statedLimit.test.ts
@@ -1,14 +1,14 @@
 import { expect } from 'chai'
 import * as fastCheck from 'fast-check'
 import {
-  createStatedLimit,
-  limitNow,
+  createAdvertisedLimit,
+  currentLimit,
   limitShareOf,
-  limitTurn,
+  senderGroupAt,
   nextSendAt,
-  noteStatedLimit,
+  recordAdvertisedLimit,
   sendersOf,
-  takeSharedLimit,
+  mergeSharedLimit,
   gossipInterval,
   type Milliseconds,
   type SharedLimit,
@@ -51,9 +51,9 @@
     fastCheck.assert(
       fastCheck.property(fastCheck.array(sharedLimit, { maxLength: 8 }), entries => {
         const limitsOf = (order: SharedLimit[]) => {
-          const state = createStatedLimit(0)
-          for (const entry of order) takeSharedLimit(state, entry, 0)
-          return [state.version, limitNow(state, 5_000)]
+          const state = createAdvertisedLimit(0)
+          for (const entry of order) mergeSharedLimit(state, entry, 0)
+          return [state.version, currentLimit(state, 5_000)]
         }
         expect(limitsOf(entries)).to.deep.equal(limitsOf([...entries].reverse()))
       }),
@@ -61,23 +61,23 @@
   })
 
   it('takes precedence over a looser limit from gossip for one second after an own answer', () => {
-    const state = createStatedLimit(0)
-    noteStatedLimit(state, 2, 1, 1_000)
-    takeSharedLimit(state, { perSecond: 8, version: 7, turn: 0 }, 1_200)
-    expect(limitNow(state, 1_300)).to.equal(2)
-    expect(limitNow(state, 2_100)).to.equal(8)
+    const state = createAdvertisedLimit(0)
+    recordAdvertisedLimit(state, 2, 1, 1_000)
+    mergeSharedLimit(state, { perSecond: 8, version: 7, turn: 0 }, 1_200)
+    expect(currentLimit(state, 1_300)).to.equal(2)
+    expect(currentLimit(state, 2_100)).to.equal(8)
   })
 
   it('ends with an answer that advertises none, and expires after a minute without answers', () => {
-    const state = createStatedLimit(0)
-    expect(noteStatedLimit(state, 2, 1, 1_000)).to.equal(true)
-    expect(noteStatedLimit(state, 2, 1, 1_500)).to.equal(false)
-    expect(noteStatedLimit(state, 2, 1, 3_100)).to.equal(true)
-    expect(limitNow(state, 60_000)).to.equal(2)
-    expect(limitNow(state, 63_200)).to.equal(undefined)
-    noteStatedLimit(state, 2, 1, 70_000)
-    expect(noteStatedLimit(state, undefined, 1, 70_100)).to.equal(true)
-    expect(limitNow(state, 70_100)).to.equal(undefined)
+    const state = createAdvertisedLimit(0)
+    expect(recordAdvertisedLimit(state, 2, 1, 1_000)).to.equal(true)
+    expect(recordAdvertisedLimit(state, 2, 1, 1_500)).to.equal(false)
+    expect(recordAdvertisedLimit(state, 2, 1, 3_100)).to.equal(true)
+    expect(currentLimit(state, 60_000)).to.equal(2)
+    expect(currentLimit(state, 63_200)).to.equal(undefined)
+    recordAdvertisedLimit(state, 2, 1, 70_000)
+    expect(recordAdvertisedLimit(state, undefined, 1, 70_100)).to.equal(true)
+    expect(currentLimit(state, 70_100)).to.equal(undefined)
   })
 
   it('is gossiped less often where many upstreams advertise one, but before it expires', () => {
@@ -88,21 +88,21 @@
       [2_400, 20_000],
     ] as const)
       expect(gossipInterval(limited)).to.equal(span)
-    const state = createStatedLimit(0)
-    noteStatedLimit(state, 2, 100, 1_000)
-    expect(noteStatedLimit(state, 2, 100, 10_900)).to.equal(false)
-    expect(noteStatedLimit(state, 2, 100, 11_000)).to.equal(true)
-    expect(limitTurn(state, 100, 30_900)).to.equal(0)
-    expect(limitTurn(state, 100, 31_000)).to.equal(1)
+    const state = createAdvertisedLimit(0)
+    recordAdvertisedLimit(state, 2, 100, 1_000)
+    expect(recordAdvertisedLimit(state, 2, 100, 10_900)).to.equal(false)
+    expect(recordAdvertisedLimit(state, 2, 100, 11_000)).to.equal(true)
+    expect(senderGroupAt(state, 100, 30_900)).to.equal(0)
+    expect(senderGroupAt(state, 100, 31_000)).to.equal(1)
   })
 
   it('passes to another group of senders when the current one is idle', () => {
     const boxes = Array.from({ length: 9 }, (_, at) => ({ box: `box-${at}`, dataCentre: 'ebene' }))
-    const state = createStatedLimit(0)
-    noteStatedLimit(state, 1, 1, 0)
+    const state = createAdvertisedLimit(0)
+    recordAdvertisedLimit(state, 1, 1, 0)
     const share = limitShareOf(1, boxes.length)
     const sendersAt = (now: Milliseconds) => {
-      const place = { nameHash: 77, dataCentre: 'ebene', turn: limitTurn(state, 1, now) }
+      const place = { nameHash: 77, dataCentre: 'ebene', turn: senderGroupAt(state, 1, now) }
       return sendersOf(place, boxes, share).map(({ box }) => box)
     }
     const first = sendersAt(3_900)
@@ -110,7 +110,7 @@
     const third = sendersAt(8_100)
     expect(new Set([...first, ...second, ...third]).size).to.equal(9)
     // A group that reports an answer stays the group of senders.
-    noteStatedLimit(state, 1, 1, 8_200)
+    recordAdvertisedLimit(state, 1, 1, 8_200)
     expect(sendersAt(8_300)).to.deep.equal(third)
   })
 })
--- a/packages/decisions/test/upstreams.test.ts
+++ b/packages/decisions/test/upstreams.test.ts
@@ -6,16 +6,16 @@
   createSeededRandom,
   createUpstreamView,
   earnRetry,
-  noteEnded,
-  noteFailure,
-  noteReport,
-  noteSent,
-  noteSuccess,
+  recordEnd,
+  recordFailure,
+  recordReport,
+  recordSend,
+  recordSuccess,
   predictLoad,
   prefixBlocks,
   PrefixMap,
   spendRetry,
-  takesWork,
+  acceptsWork,
   type UpstreamView,
 } from '@yewkeel/decisions'
 
@@ -32,12 +32,12 @@
 describe('predictLoad', () => {
   it('counts requests sent after a delayed load report was made', () => {
     const view = viewOf('a')
-    noteSent(view, 10)
-    noteSent(view, 30)
-    noteReport(view, { at: 20, running: 3, waiting: 0 })
+    recordSend(view, 10)
+    recordSend(view, 30)
+    recordReport(view, { at: 20, running: 3, waiting: 0 })
     // Of the three reported, two were other boxes'; this box has two in flight now.
     expect(predictLoad(view, 20)).to.equal(4)
-    noteEnded(view, 40)
+    recordEnd(view, 40)
     expect(predictLoad(view, 20)).to.equal(3)
   })
 })
@@ -45,7 +45,7 @@
 describe('the choice and ejection of upstreams', () => {
   it('picks the least loaded upstream and skips leaving and excluded ones', () => {
     const [busy, idle, leaving] = [viewOf('busy'), viewOf('idle'), viewOf('leaving')]
-    noteReport(busy, { at: 0, running: 4, waiting: 9 })
+    recordReport(busy, { at: 0, running: 4, waiting: 9 })
     leaving.state = 'leaving'
     expect(choose([busy, idle, leaving])?.id).to.equal('idle')
     expect(choose([busy, idle, leaving], new Set(['idle']))?.id).to.equal('busy')
@@ -54,15 +54,15 @@
 
   it('ejects an upstream after three consecutive failures, then probes it with one request at a time', () => {
     const view = viewOf('a')
-    for (let failures = 0; failures < 3; failures++) noteFailure(view, 0)
-    expect(takesWork(view, 1_999)).to.equal(false)
-    expect(takesWork(view, 2_000)).to.equal(true)
-    noteSent(view, 2_000)
-    expect(takesWork(view, 2_001)).to.equal(false)
-    noteFailure(view, 2_002)
-    expect(takesWork(view, 5_000)).to.equal(false)
-    noteSuccess(view, 10)
-    expect(takesWork(view, 5_000)).to.equal(true)
+    for (let failures = 0; failures < 3; failures++) recordFailure(view, 0)
+    expect(acceptsWork(view, 1_999)).to.equal(false)
+    expect(acceptsWork(view, 2_000)).to.equal(true)
+    recordSend(view, 2_000)
+    expect(acceptsWork(view, 2_001)).to.equal(false)
+    recordFailure(view, 2_002)
+    expect(acceptsWork(view, 5_000)).to.equal(false)
+    recordSuccess(view, 10)
+    expect(acceptsWork(view, 5_000)).to.equal(true)
   })
 })
 
@@ -70,8 +70,8 @@
   it('matches the longest prefix that each upstream has cached', () => {
     const map = new PrefixMap()
     const blocks = prefixBlocks('a', 'x'.repeat(1_024 * 3))
-    map.note(blocks.slice(0, 2), 'engine-1')
-    map.note(blocks, 'engine-2')
+    map.record(blocks.slice(0, 2), 'engine-1')
+    map.record(blocks, 'engine-2')
     expect(Object.fromEntries(map.match(blocks))).to.deep.equal({
       'engine-1': 512,
       'engine-2': 768,
@@ -80,7 +80,7 @@
 
   it('separates organisations and bounds its size', () => {
     const map = new PrefixMap(10)
-    map.note(prefixBlocks('a', 'x'.repeat(1_024 * 20)), 'engine-1')
+    map.record(prefixBlocks('a', 'x'.repeat(1_024 * 20)), 'engine-1')
     expect(map.size).to.equal(10)
     expect(prefixBlocks('a', 'x'.repeat(1_024))).not.to.deep.equal(
       prefixBlocks('b', 'x'.repeat(1_024)),
--- a/packages/decisions/test/versionEvidence.test.ts
+++ b/packages/decisions/test/versionEvidence.test.ts
@@ -1,13 +1,13 @@
 import { expect } from 'chai'
 import {
   createEvidenceLedger,
-  createRecentTimes,
-  findVersionDoubt,
+  createRecentDurations,
+  findProbableFault,
   findVersionFault,
   isSlow,
   keepTrialUpstreams,
-  noteTime,
-  takeAnswerCounts,
+  recordDuration,
+  recordAnswerCounts,
   type AnswerCount,
   type EvidenceLedger,
   type UpstreamCandidate,
@@ -31,7 +31,7 @@
 
 function ledgerOf(counts: readonly AnswerCount[]): EvidenceLedger {
   const ledger = createEvidenceLedger()
-  takeAnswerCounts(ledger, 'box-1', counts, 0)
+  recordAnswerCounts(ledger, 'box-1', counts, 0)
   return ledger
 }
 
@@ -73,13 +73,13 @@
 
   it('reports a version that fails after a long good period', () => {
     const ledger = ledgerOf([count('v1', 400, 2), count('v2', 300, 0)])
-    takeAnswerCounts(ledger, 'box-1', [count('v1', 450, 2), count('v2', 306, 6)], 9_000)
+    recordAnswerCounts(ledger, 'box-1', [count('v1', 450, 2), count('v2', 306, 6)], 9_000)
     expect(isBad(ledger)).to.equal(true)
   })
 
   it('reports a version that fails after the other versions have recovered', () => {
     const ledger = ledgerOf([count('v1', 100, 60), count('v2', 0, 0)])
-    takeAnswerCounts(ledger, 'box-1', [count('v1', 200, 60), count('v2', 20, 8)], 9_000)
+    recordAnswerCounts(ledger, 'box-1', [count('v1', 200, 60), count('v2', 20, 8)], 9_000)
     expect(isBad(ledger)).to.equal(true)
   })
 
@@ -96,22 +96,27 @@
   it('keeps all counts in at most 31 blocks during a long rollout', () => {
     const ledger = createEvidenceLedger()
     for (let step = 1; step <= 400; step++)
-      takeAnswerCounts(ledger, 'box-1', [count('v1', step, 0), count('v2', 0, step)], 10_000 * step)
+      recordAnswerCounts(
+        ledger,
+        'box-1',
+        [count('v1', step, 0), count('v2', 0, step)],
+        10_000 * step,
+      )
     for (const { blocks } of ledger.cells.values()) expect(blocks.size).to.be.at.most(31)
     expect(findVersionFault(ledger, 'v2', 1)).to.include({ bad: 400, othersGood: 400 })
   })
 
   it('adds the counts of a restarted box to those before the restart', () => {
     const ledger = ledgerOf([count('v1', 200, 0), count('v2', 3, 2)])
-    takeAnswerCounts(ledger, 'box-1', [count('v2', 0, 1)], 1_000)
-    takeAnswerCounts(ledger, 'box-1', [count('v2', 2, 4)], 1_500)
+    recordAnswerCounts(ledger, 'box-1', [count('v2', 0, 1)], 1_000)
+    recordAnswerCounts(ledger, 'box-1', [count('v2', 2, 4)], 1_500)
     expect(findVersionFault(ledger, 'v2', 1)).to.include({ good: 5, bad: 6 })
   })
 })
 
 describe('version evidence at the end of a trial', () => {
   const isDoubted = (bad: number) =>
-    findVersionDoubt(ledgerOf([count('v1', 400, 2), count('v2', 40, bad)]), 'v2', 1) !== undefined
+    findProbableFault(ledgerOf([count('v1', 400, 2), count('v2', 40, bad)]), 'v2', 1) !== undefined
 
   it('doubts a version on evidence too weak for a fault, but not on one bad answer', () => {
     expect(isBad(ledgerOf([count('v1', 400, 2), count('v2', 40, 6)]))).to.equal(false)
@@ -120,19 +125,19 @@
   })
 
   it('does not doubt a version without answers', () => {
-    expect(findVersionDoubt(ledgerOf([count('v1', 400, 2)]), 'v2', 4)).to.equal(undefined)
+    expect(findProbableFault(ledgerOf([count('v1', 400, 2)]), 'v2', 4)).to.equal(undefined)
   })
 })
 
 describe('recent answer times', () => {
   it('follow the latest samples and classify nothing until there are eight', () => {
-    const times = createRecentTimes()
-    const limit = { part: 0.5, times: 1 }
-    for (let number = 0; number < 7; number++) noteTime(times, 30)
+    const times = createRecentDurations()
+    const limit = { quantile: 0.5, factor: 1 }
+    for (let number = 0; number < 7; number++) recordDuration(times, 30)
     expect(isSlow(times, 90, limit)).to.equal(undefined)
-    noteTime(times, 30)
+    recordDuration(times, 30)
     expect(isSlow(times, 90, limit)).to.equal(true)
-    for (let number = 0; number < 40; number++) noteTime(times, 100)
+    for (let number = 0; number < 40; number++) recordDuration(times, 100)
     expect(isSlow(times, 90, limit)).to.equal(false)
   })
 })
@@ -143,8 +148,8 @@
       listed: { version } as UpstreamCandidate['listed'],
       nameHash: 7_919 * (number + 1),
       load: 0,
-      waiting: 0,
-      slowness: 1,
+      pendingPrefill: 0,
+      prefillSlowdown: 1,
       isEjected: version === 'v2' && number === 0,
     }))
   const all = [...upstreams('v1'), ...upstreams('v2')]
--- a/packages/gateway/src/createGateway.ts
+++ b/packages/gateway/src/createGateway.ts
@@ -8,10 +8,10 @@
   type Timer,
 } from '@yewkeel/decisions'
 import { probeConnection } from './node/connectInTime.js'
-import { UpstreamChannels, type OpenChannels } from './node/upstreamChannels.js'
+import { UpstreamConnectionPool, type OpenConnectionPool } from './node/upstreamChannels.js'
 import { handleCaller } from './requests/handleCaller.js'
 import { StallWatch } from './requests/stallWatch.js'
-import { CondemnedTask } from './tasks/condemnedTask.js'
+import { QuarantineTask } from './tasks/condemnedTask.js'
 import { EngineWork } from './tasks/engineWork.js'
 import { EntryTask } from './tasks/entryTask.js'
 import { OperatorTask } from './tasks/operatorTask.js'
@@ -20,13 +20,13 @@
 import { ReachabilityWatch } from './tasks/reachabilityWatch.js'
 import { RolloutTask } from './tasks/rolloutTask.js'
 import { SendBudget } from './tasks/sendBudget.js'
-import { StatementTask } from './tasks/statementTask.js'
+import { AdvertisementTask } from './tasks/statementTask.js'
 import { StoreReader } from './tasks/storeReader.js'
 import { UpstreamDirectory } from './tasks/upstreamDirectory.js'
 import { UpstreamOutcomes } from './tasks/upstreamOutcomes.js'
 import type { GatewayMessage, GatewayState } from './types/gossip.js'
 import type {
-  CallerAnswer,
+  CallerResponse,
   CallerRequest,
   Dialect,
   EventLog,
@@ -51,7 +51,7 @@
    * Opens the connections to an upstream.
    * @default opens TCP connections
    */
-  openChannels?: OpenChannels
+  openConnectionPool?: OpenConnectionPool
   /**
    * Whether an address accepts connections.
    * @default attempts a TCP connection
@@ -65,14 +65,14 @@
 export interface Gateway {
   services: GatewayServices
   start(): void
-  handle(request: CallerRequest, answer: CallerAnswer): void
+  handle(request: CallerRequest, answer: CallerResponse): void
   /** Entry addresses of serving boxes, those in the given data centre first. */
   addresses(dataCentre: string | undefined): string[]
   isReady(): boolean
   /** Applies new limits. Name, data centre and addresses take effect only at a restart. */
   reload(limits: GatewayLimits): void
   /** Starts draining: the box announces that it leaves and is no longer ready, but still serves. */
-  beginToLeave(): void
+  startDraining(): void
   stop(): Promise<void>
 }
 
@@ -106,51 +106,51 @@
     clock,
     log,
     onChange(next) {
-      rollouts.takeOrders(next.orders)
+      rollouts.applyOrders(next.orders)
       upstreams.evacuate(next.evacuated)
-      upstreams.list.reconsider()
+      upstreams.list.reapply()
       options.onConfiguration(next)
     },
   })
   const work: EngineWork = new EngineWork({
     clock,
-    tell: entries => peers.sendWork(entries),
+    send: entries => peers.sendWork(entries),
     role: () => peers.workRole,
-    listeners: () => peers.workRecipientCount,
+    recipientCount: () => peers.workRecipientCount,
   })
   const budget: SendBudget = new SendBudget({
     clock,
     self: identity.box,
-    startOf: service => operators.index?.service(service)?.cold,
+    coldStartOf: service => operators.index?.service(service)?.cold,
     overage: () => settings.coldOverage,
     boxesVersion: () => peers.entriesVersion,
     boxes: () => peers.places(),
-    limited: () => statements.limited,
-    hearsOthers: () => peers.live().length > 0,
+    limitedCount: () => advertisements.limitedCount,
+    hasRecentGossip: () => peers.live().length > 0,
     boxCount: () => (peers.hasEntries ? Math.max(1, peers.registeredBoxCount) : 0),
   })
-  const statements: StatementTask = new StatementTask({
+  const advertisements: AdvertisementTask = new AdvertisementTask({
     clock,
     log,
     metrics,
-    find: run => upstreams.ofRun(run),
+    find: run => upstreams.findByRun(run),
     all: () => upstreams.all(),
     pauses,
-    tell: entries => peers.announceStatements(entries),
+    broadcast: entries => peers.announceAdvertisements(entries),
   })
   const suspects: CrashSuspects = new CrashSuspects({
     holder: voterOf(identity),
     clock,
     random,
-    note: (event, fields) => log.note(event, fields),
-    tell: news => peers.announceSuspects(news),
-    isMesh: () => peers.isMesh,
-    onCondemned(entry) {
+    log: (event, fields) => log.event(event, fields),
+    broadcast: updates => peers.announceSuspects(updates),
+    isFullMesh: () => peers.isFullMesh,
+    onQuarantined(entry) {
       metrics.count('crashes', 'condemned')
-      void condemned.write(entry)
+      void quarantine.write(entry)
     },
   })
-  const condemned = new CondemnedTask({
+  const quarantine = new QuarantineTask({
     clock,
     log,
     store,
@@ -165,11 +165,12 @@
     log,
     work,
     budget,
-    saidBy: run => statements.saidBy(run),
-    openChannels: options.openChannels ?? (address => new UpstreamChannels(address, clock)),
-    namesService: name =>
+    stateOf: run => advertisements.stateOf(run),
+    openConnectionPool:
+      options.openConnectionPool ?? (address => new UpstreamConnectionPool(address, clock)),
+    isConfigured: name =>
       operators.index === undefined || operators.index.service(name) !== undefined,
-    knowsFarWork: () => peers.isMesh,
+    knowsRemoteWork: () => peers.isFullMesh,
     suspects,
   })
   const outcomes: UpstreamOutcomes = new UpstreamOutcomes({
@@ -178,8 +179,8 @@
     metrics,
     all: () => upstreams.all(),
     onUnreachable(upstream) {
-      services.stalls.giveUpOn(upstream)
-      reachability.awaitReturn(upstream)
+      services.stalls.stallStreamsOf(upstream)
+      reachability.probeUntilReachable(upstream)
     },
     onGone: ({ run }) => peers.announceEndedRuns([run]),
   })
@@ -188,8 +189,8 @@
     probe: ({ listed }) =>
       options.probe?.(listed.address) ?? probeConnection(listed.address, clock),
     isListed: upstream => upstreams.isListed(upstream),
-    onUnreachable: upstream => outcomes.note(upstream, 'unreachable'),
-    onReachable: upstream => upstreams.noteReturned(upstream),
+    onUnreachable: upstream => outcomes.record(upstream, 'unreachable'),
+    onReachable: upstream => upstreams.markReachable(upstream),
   })
   const rollouts: RolloutTask = new RolloutTask({
     clock,
@@ -198,7 +199,7 @@
     store,
     upstreams,
     rank,
-    allAnswers: () => [{ box: identity.box, counts: rollouts.answers }, ...peers.answers()],
+    answerReports: () => [{ box: identity.box, counts: rollouts.answers }, ...peers.answers()],
     exposureLimit: () => settings.exposureLimit,
     onVerdict: announce,
     onBadAnswer: announceBadAnswer,
@@ -250,42 +251,42 @@
     onOperatorsProved({ revision, fingerprint }, provedAt) {
       if (fingerprint !== operators.state.fingerprint)
         return revision > operators.state.revision ? 'wanted' : 'known'
-      operators.prove(revision, provedAt)
+      operators.recordConfirmation(revision, provedAt)
       return 'known'
     },
     onUpstreamsProved({ revision, fingerprint }, provedAt) {
       if (fingerprint !== upstreams.list.fingerprint)
         return revision > upstreams.list.version ? 'wanted' : 'known'
-      upstreams.list.sameAt(revision)
-      reader.proveList(provedAt)
+      upstreams.list.confirmVersion(revision)
+      reader.confirmList(provedAt)
       return 'known'
     },
     onOperators(next) {
       const before = operators.state.fingerprint
-      operators.take(next)
+      operators.apply(next)
       if (operators.state.fingerprint !== before) announce()
     },
     onUpstreams(entries, version, provedAt) {
-      if (provedAt !== undefined) reader.proveList(provedAt)
-      if (upstreams.list.take(entries, version)) announce()
+      if (provedAt !== undefined) reader.confirmList(provedAt)
+      if (upstreams.list.apply(entries, version)) announce()
     },
-    onUpstreamsGone: runs => runs.filter(run => upstreams.takeGone(run)),
-    onRollouts: statuses => rollouts.takeStatuses(statuses),
-    onVerdicts: verdicts => rollouts.takeVerdicts(verdicts),
+    onUpstreamsGone: runs => runs.filter(run => upstreams.markReplaced(run)),
+    onRollouts: statuses => rollouts.mergeStatuses(statuses),
+    onVerdicts: verdicts => rollouts.mergeVerdicts(verdicts),
     onWork: (box, entries) => work.recordPeerWork(box, entries),
     onWorkSums: entries => work.recordDataCentreWork(entries),
     onWorkRole: () => work.changeRole(),
     currentWork: () => work.all(),
-    onStoreClock: (storeNow, at) => rollouts.noteStoreClock(storeNow, at),
+    onStoreClock: (storeNow, at) => rollouts.updateStoreClock(storeNow, at),
     currentOperators: () => operators.state,
     currentUpstreams,
     onSuspects(entries, isComplete) {
-      condemned.isComplete ||= isComplete
-      return suspects.take(entries)
+      quarantine.isComplete ||= isComplete
+      return suspects.merge(entries)
     },
-    onStatements: entries => statements.hear(entries),
-    currentStatements: () => statements.current(),
-    currentSuspects: () => ({ entries: suspects.all(), isComplete: condemned.isComplete }),
+    onAdvertisements: entries => advertisements.merge(entries),
+    currentAdvertisements: () => advertisements.current(),
+    currentSuspects: () => ({ entries: suspects.updates(), isComplete: quarantine.isComplete }),
   })
 
   function currentUpstreams() {
@@ -298,7 +299,7 @@
   function beginToServe(): void {
     if (state !== 'starting' || !operators.index || upstreams.list.version === 0) return
     state = 'serving'
-    log.note('serving', { after: Math.round(clock.now() - startedAt) })
+    log.event('serving', { after: Math.round(clock.now() - startedAt) })
   }
 
   /** Sends a round of gossip soon; neighbours request the content that they lack. */
@@ -351,7 +352,7 @@
     return Math.max(services.boxCount(), peers.registeredBoxCount)
   }
 
-  metrics.watch('held', () => upstreams.heldBack())
+  metrics.watch('held', () => upstreams.countRestricted())
 
   const startedAt = clock.now()
   const services: GatewayServices = {
@@ -366,19 +367,19 @@
     outcomes,
     rollouts,
     work,
-    retries: createRetryShares({
+    retryShares: createRetryShares({
       limits: settings.retries,
       slackFrom: settings.isFirstStart ? startedAt : startedAt + settings.retries.window,
     }),
-    gains: createConfidenceGains(),
+    confidenceGains: createConfidenceGains(),
     stalls: new StallWatch(clock, reachability),
     reachability,
     suspects,
     pauses,
-    statements,
+    advertisements,
     boxCount: () => peers.live().length + 1,
-    sharingBoxes: () => (peers.hasEntries ? knownBoxCount() : Infinity),
-    channelLimit(service) {
+    budgetBoxCount: () => (peers.hasEntries ? knownBoxCount() : Infinity),
+    connectionLimit(service) {
       const most = operators.index?.service(service)?.maxConnections ?? Infinity
       return Math.max(MIN_CONNECTIONS, Math.floor((CONNECTION_SHARE * most) / knownBoxCount()))
     },
@@ -401,7 +402,7 @@
       reader.start()
       services.stalls.start()
       entries.start()
-      condemned.start()
+      quarantine.start()
       timers.push(
         services.pauses.start(),
         every(clock, GOSSIP_INTERVAL, () => peers.tick()),
@@ -426,20 +427,20 @@
     isReady: () => state === 'serving',
     reload(limits) {
       Object.assign(settings, limits)
-      services.retries.limits = limits.retries
-      log.note('reload', { ...limits })
+      services.retryShares.limits = limits.retries
+      log.event('reload', { ...limits })
     },
-    beginToLeave() {
+    startDraining() {
       state = 'leaving'
       leavingSince = clock.now()
-      log.note('leaving', {})
+      log.event('leaving', {})
       peers.tick()
     },
     async stop() {
       entries.stop()
       for (const timer of timers) timer.cancel()
       reader.stop()
-      condemned.stop()
+      quarantine.stop()
       await transport.close()
     },
   }
--- a/packages/gateway/src/node/connectInTime.ts
+++ b/packages/gateway/src/node/connectInTime.ts
@@ -12,14 +12,14 @@
  */
 const PAUSE_ALLOWANCE: Milliseconds = 20
 /** Timeout for opening a connection. */
-export const OPENS_WITHIN: Milliseconds = HANDSHAKE_TIMEOUT + PAUSE_ALLOWANCE
+export const CONNECT_TIMEOUT: Milliseconds = HANDSHAKE_TIMEOUT + PAUSE_ALLOWANCE
 
 /** The connection did not open in time; no byte was sent. */
 export class UnreachableError extends Error {
   override readonly name = 'UnreachableError'
 
   constructor() {
-    super(`no connection opened within ${OPENS_WITHIN} ms`)
+    super(`no connection opened within ${CONNECT_TIMEOUT} ms`)
   }
 }
 
@@ -32,7 +32,7 @@
 }
 
 /** Destroys a socket that does not connect in time, with an `UnreachableError`. */
-export function limitOpening(socket: Socket, clock: Clock): void {
+export function limitConnectTime(socket: Socket, clock: Clock): void {
   let timer = clock.after(HANDSHAKE_TIMEOUT, () => {
     timer = clock.after(PAUSE_ALLOWANCE, () => socket.destroy(new UnreachableError()))
   })
@@ -47,7 +47,7 @@
   return (options, callback) => {
     // undici's connector returns the socket, although its types do not declare it.
     const socket = connect(options, callback) as unknown as Socket
-    limitOpening(socket, clock)
+    limitConnectTime(socket, clock)
   }
 }
 
@@ -59,7 +59,7 @@
   const { hostname, port } = new URL(`http://${address}`)
   return new Promise(resolve => {
     const socket = connectSocket({ host: hostname, port: Number(port) })
-    limitOpening(socket, clock)
+    limitConnectTime(socket, clock)
     socket.once('connect', () => {
       resolve(true)
       socket.destroy()
--- a/packages/gateway/src/node/entryServer.ts
+++ b/packages/gateway/src/node/entryServer.ts
@@ -1,7 +1,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo, Server as ConnectionServer, Socket } from 'node:net'
 import { sleep, type Clock, type Milliseconds } from '@yewkeel/decisions'
-import type { CallerAnswer, CallerRequest } from '../types/ports.js'
+import type { CallerResponse, CallerRequest } from '../types/ports.js'
 import { listenOn } from './listenOn.js'
 
 /**
@@ -21,7 +21,7 @@
   isReady(): boolean
   clock: Clock
   bodyBytes(): number
-  handle(request: CallerRequest, answer: CallerAnswer): void
+  handle(request: CallerRequest, answer: CallerResponse): void
 }
 
 /** The HTTP server for callers. */
@@ -168,7 +168,7 @@
   })
 }
 
-function createAnswer(response: ServerResponse, isDraining: () => boolean): CallerAnswer {
+function createAnswer(response: ServerResponse, isDraining: () => boolean): CallerResponse {
   return {
     start(status, headers, isFramed) {
       if (response.headersSent) return
@@ -179,7 +179,7 @@
     write: chunk => void response.write(chunk),
     end: chunk => void response.end(chunk),
     abort: () => void response.destroy(),
-    onGone(callback) {
+    onDisconnect(callback) {
       response.once('close', () => {
         if (!response.writableFinished) callback()
       })
--- a/packages/gateway/src/node/eventLog.ts
+++ b/packages/gateway/src/node/eventLog.ts
@@ -58,7 +58,7 @@
     return true
   }
   return {
-    note(event, fields) {
+    event(event, fields) {
       if (admit('note')) logger.info({ event, ...fields })
     },
     request(fields, isFailure) {
--- a/packages/gateway/src/node/runGateway.ts
+++ b/packages/gateway/src/node/runGateway.ts
@@ -67,8 +67,8 @@
     secret: settings.peerSecret,
     clock,
     log: peerLog(log),
-    largestBacklog: MAX_GOSSIP_BACKLOG_BYTES,
-    compressFrom: MIN_COMPRESSED_BYTES,
+    maxBacklogBytes: MAX_GOSSIP_BACKLOG_BYTES,
+    compressionThresholdBytes: MIN_COMPRESSED_BYTES,
   })
   const gateway = createGateway({
     ...options,
@@ -109,7 +109,7 @@
       }),
     )
   }
-  log.note('started', { listen: settings.listen, incarnation: options.incarnation })
+  log.event('started', { listen: settings.listen, incarnation: options.incarnation })
   return {
     gateway,
     async stop() {
@@ -135,7 +135,7 @@
   log: EventLog,
 ): Promise<void> {
   const startedAt = clock.now()
-  gateway.beginToLeave()
+  gateway.startDraining()
   entry.beginDrain()
   let lastBusyAt = startedAt
   for (;;) {
@@ -145,7 +145,7 @@
     if (now - startedAt > IDLE_CLOSE_DELAY) entry.closeIdle()
     const isQuiet = now - lastBusyAt > DRAIN_QUIET_DURATION && now - startedAt > MIN_DRAIN_DURATION
     if (!isQuiet && now - startedAt < settings.stopWithin) continue
-    log.note('stopped', { after: Math.round(now - startedAt), underWay: entry.openRequests })
+    log.event('stopped', { after: Math.round(now - startedAt), underWay: entry.openRequests })
     return
   }
 }
@@ -178,6 +178,6 @@
 
 /** Writes the transport's log lines to the event log. */
 function peerLog(log: EventLog): Log {
-  const note = (fields: object, message: string) => log.note('peer-link', { message, ...fields })
+  const note = (fields: object, message: string) => log.event('peer-link', { message, ...fields })
   return { info: note, warn: note, error: note }
 }
--- a/packages/gateway/src/node/upstreamChannels.ts
+++ b/packages/gateway/src/node/upstreamChannels.ts
@@ -30,7 +30,7 @@
 }
 
 /** Connection pool of this box for one upstream. */
-export interface Channels {
+export interface ConnectionPool {
   /** Number of connections, in use or idle. */
   readonly open: number
   readonly idle: number
@@ -40,7 +40,7 @@
 }
 
 /** Creates the connection pool of the upstream at `host:port`. */
-export type OpenChannels = (address: string) => Channels
+export type OpenConnectionPool = (address: string) => ConnectionPool
 
 /** Idle connections close after this, or earlier if the upstream announces a shorter timeout. */
 const IDLE_TIMEOUT: Milliseconds = 8_000
@@ -67,7 +67,7 @@
 }
 
 /** Connection pool over TCP without pipelining; idle connections are reused. */
-export class UpstreamChannels implements Channels {
+export class UpstreamConnectionPool implements ConnectionPool {
   readonly #idle: Connection[] = []
   readonly #open = new Set<Connection>()
   readonly #connect: ReturnType<typeof createTimedConnector>
--- a/packages/gateway/src/requests/crashProbe.ts
+++ b/packages/gateway/src/requests/crashProbe.ts
@@ -51,10 +51,10 @@
     const { log, metrics, clock, upstreams, pauses } = this.services
     const { listed, run } = upstream
     const isDraining =
-      upstream.said.isLeaving || listed.state !== 'ready' || !upstreams.isListed(upstream)
+      upstream.advertised.isLeaving || listed.state !== 'ready' || !upstreams.isListed(upstream)
     if (isDraining || pauses.hasPausedSince(sentAt)) return
     metrics.count('crashes', 'aboard')
-    log.note('upstream-crashed', {
+    log.event('upstream-crashed', {
       upstream: run,
       service: listed.service,
       request: this.suspect.digest,
@@ -62,6 +62,6 @@
       route: this.admitted.route.name,
       after: Math.round(clock.now() - sentAt),
     })
-    this.suspect.noteCrash(send)
+    this.suspect.recordCrash(send)
   }
 }
--- a/packages/gateway/src/requests/eventRelay.ts
+++ b/packages/gateway/src/requests/eventRelay.ts
@@ -1,5 +1,5 @@
 import { EventSplitter, lastEventId } from '@yewkeel/box'
-import type { CallerAnswer } from '../types/ports.js'
+import type { CallerResponse } from '../types/ports.js'
 
 /**
  * Relays the events of a stream to the caller, whole and in order. A stream that is resumed at
@@ -12,7 +12,7 @@
   /** The response to the caller is framed, so that the caller detects a truncated one. */
   isFramed = true
 
-  constructor(private readonly answer: CallerAnswer) {}
+  constructor(private readonly answer: CallerResponse) {}
 
   /** Part of the answer has been sent to the caller. */
   get hasStarted(): boolean {
@@ -47,7 +47,7 @@
 
   /** The stream so far ends within an event. */
   get hasPartialEvent(): boolean {
-    return this.#splitter.hasRest
+    return this.#splitter.hasPartialEvent
   }
 }
 
--- a/packages/gateway/src/requests/exchangeWithUpstream.ts
+++ b/packages/gateway/src/requests/exchangeWithUpstream.ts
@@ -2,16 +2,16 @@
 import { isUnreachable } from '../node/connectInTime.js'
 import type { Exchange, ExchangeRequest } from '../node/upstreamChannels.js'
 import type { Upstream } from '../types/upstream.js'
-import type { AnswerFields, Dialect, RawHeaders } from '../types/ports.js'
+import type { ResponseFields, Dialect, RawHeaders } from '../types/ports.js'
 
 /** 421 Misdirected Request: the process is not the one that the request addresses. */
 export const MISDIRECTED = 421
 
 /** The head of an upstream's answer. */
-export interface AnswerHead {
+export interface ResponseHead {
   status: number
   headers: RawHeaders
-  fields: AnswerFields
+  fields: ResponseFields
 }
 
 /**
@@ -33,7 +33,7 @@
 /** Callbacks of an exchange, called asynchronously only. */
 export interface ExchangeHandler {
   /** Returns false to cancel the exchange. */
-  onHead(head: AnswerHead): boolean
+  onHead(head: ResponseHead): boolean
   onChunk(chunk: Buffer): void
   onEnd(): void
   onFault(fault: ExchangeFault, wasSent: boolean, detail: string): void
@@ -77,10 +77,10 @@
     running.lastBytesAt = now()
     upstream.health.lastHeardAt = running.lastBytesAt
   }
-  const exchange: Exchange = upstream.channels.send(request, {
+  const exchange: Exchange = upstream.connectionPool.send(request, {
     onHead(status, headers) {
       recordBytes()
-      const fields = dialect.readAnswer(headers)
+      const fields = dialect.readResponse(headers)
       if (fields.id !== undefined && fields.id !== id) {
         running.cancel()
         handler.onFault('foreign', true, `the answer is to ${fields.id}`)
--- a/packages/gateway/src/requests/forwardCall.ts
+++ b/packages/gateway/src/requests/forwardCall.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '@yewkeel/decisions'
 import type { Upstream } from '../types/upstream.js'
-import { MISDIRECTED, type AnswerHead, type ExchangeFault } from './exchangeWithUpstream.js'
+import { MISDIRECTED, type ResponseHead, type ExchangeFault } from './exchangeWithUpstream.js'
 import type { ForwardedRequest } from './forwardedRequest.js'
 
 /** An attempt that got no complete answer. */
@@ -13,12 +13,13 @@
 }
 
 /** How one attempt ended. `over`: the request finished for another reason, such as its deadline. */
-type CallOutcome = { type: 'answer'; head: AnswerHead; body: Buffer } | CallFault | { type: 'over' }
+type CallOutcome =
+  { type: 'answer'; head: ResponseHead; body: Buffer } | CallFault | { type: 'over' }
 
 /** A complete answer and its classification. */
 interface WholeAnswer {
   kind: AnswerKind
-  head: AnswerHead
+  head: ResponseHead
   body: Buffer
 }
 
@@ -66,7 +67,7 @@
 function recordAnswer(
   request: ForwardedRequest,
   upstream: Upstream,
-  { head, body }: { head: AnswerHead; body: Buffer },
+  { head, body }: { head: ResponseHead; body: Buffer },
   duration: Milliseconds,
 ): WholeAnswer {
   const kind = classify(head)
@@ -99,7 +100,7 @@
 
 const FIRST_SERVER_ERROR = 500
 
-function classify({ status, fields }: AnswerHead): AnswerKind {
+function classify({ status, fields }: ResponseHead): AnswerKind {
   if (fields.isNotRun) return 'not-run'
   if (!fields.isSigned || fields.isEncoded) return 'spoiled'
   if (status >= FIRST_SERVER_ERROR || NOT_RUN_STATUSES.has(status)) return 'failure'
@@ -115,7 +116,7 @@
 function attemptCall(request: ForwardedRequest, upstream: Upstream): Promise<CallOutcome> {
   return new Promise(resolve => {
     const chunks: Buffer[] = []
-    let head: AnswerHead | undefined
+    let head: ResponseHead | undefined
     const { clock, upstreams } = request.services
     const exchange = request.send(
       upstream,
@@ -123,7 +124,8 @@
       {
         onHead(answer) {
           head = answer
-          if (answer.fields.load !== undefined) upstreams.noteLoad(upstream, answer.fields.load)
+          if (answer.fields.load !== undefined)
+            upstreams.recordReportedLoad(upstream, answer.fields.load)
           return true
         },
         onChunk: chunk => void chunks.push(chunk),
