--- a/packages/gateway/src/requests/forwardStream.ts
+++ b/packages/gateway/src/requests/forwardStream.ts
@@ -1,13 +1,13 @@
 import {
   nextModel,
-  noteConfidences,
+  recordConfidences,
   type ExchangeOutcome,
-  type PromptWork,
+  type PrefillWork,
 } from '@yewkeel/decisions'
-import type { ReadingPrompt } from '../tasks/engineWork.js'
+import type { PrefillTracker } from '../tasks/engineWork.js'
 import type { Upstream } from '../types/upstream.js'
 import { EventRelay } from './eventRelay.js'
-import { OUTCOME_OF_FAULT, type AnswerHead, type ExchangeFault } from './exchangeWithUpstream.js'
+import { OUTCOME_OF_FAULT, type ResponseHead, type ExchangeFault } from './exchangeWithUpstream.js'
 import type { ForwardedRequest } from './forwardedRequest.js'
 import type { WatchedStream } from './stallWatch.js'
 
@@ -15,7 +15,7 @@
 type StreamOutcome =
   | { type: 'complete' }
   | { type: 'doubted'; confidence: number; next: string }
-  | { type: 'answer'; head: AnswerHead; body: Buffer }
+  | { type: 'answer'; head: ResponseHead; body: Buffer }
   | { type: 'fault'; fault: ExchangeFault; wasSent: boolean; detail: string }
   | { type: 'over' }
 
@@ -40,7 +40,7 @@
   const { models } = request.route
   const isResumable = request.route.isResumable
   let model = models[0]
-  let last: { head: AnswerHead; body: Buffer } | undefined
+  let last: { head: ResponseHead; body: Buffer } | undefined
   request.onDeadline(() => {
     if (relay.hasStarted) abortAnswer(request, 'out of time')
   })
@@ -82,7 +82,7 @@
 function attemptStream(
   request: ForwardedRequest,
   upstream: Upstream,
-  prompt: PromptWork,
+  prompt: PrefillWork,
   relay: EventRelay,
 ): Promise<StreamOutcome> {
   return new Promise(resolve => {
@@ -93,20 +93,20 @@
 /** One attempt at a streamed answer, at one upstream. */
 class StreamAttempt {
   readonly #body: Buffer[] = []
-  #head: AnswerHead | undefined
+  #head: ResponseHead | undefined
   #watched: WatchedStream | undefined
   #firstEventAt: number | undefined
   #lastChunkAt: number | undefined
   #isSettled = false
   #chunkCount = 0
   #hasPace = false
-  #prefill: ReadingPrompt | undefined
+  #prefill: PrefillTracker | undefined
   readonly #startedAt: number
 
   constructor(
     private readonly request: ForwardedRequest,
     private readonly upstream: Upstream,
-    private readonly prompt: PromptWork,
+    private readonly prompt: PrefillWork,
     private readonly relay: EventRelay,
     private readonly resolve: (outcome: StreamOutcome) => void,
   ) {
@@ -154,14 +154,15 @@
     request.services.stalls.add(this.#watched)
   }
 
-  #handleHead(head: AnswerHead): boolean {
+  #handleHead(head: ResponseHead): boolean {
     const { request, upstream } = this
     const model = this.#model
     this.#head = head
     if (head.fields.load !== undefined)
-      request.services.upstreams.noteLoad(upstream, head.fields.load)
+      request.services.upstreams.recordReportedLoad(upstream, head.fields.load)
     if (!isStream(head)) return true
-    if (this.#prefill) request.recordTime(upstream, model, 'start', this.#prefill.answered())
+    if (this.#prefill)
+      request.recordTime(upstream, model, 'start', this.#prefill.recordFirstEvent())
     if (head.fields.confidence !== undefined) this.#recordConfidence(head.fields.confidence)
     const next = this.#largerModel(head, model)
     if (next === undefined) return true
@@ -172,16 +173,16 @@
   }
 
   /** The larger model to escalate to, if the confidence is too low and time and attempts allow it. */
-  #largerModel(head: AnswerHead, model: string | undefined): string | undefined {
+  #largerModel(head: ResponseHead, model: string | undefined): string | undefined {
     const { request, relay } = this
     if (model === undefined || relay.hasStarted || !request.canAttempt()) return undefined
-    const { settings, gains, clock } = request.services
+    const { settings, confidenceGains, clock } = request.services
     return nextModel({
       models: request.route.models,
       model,
       confidence: head.fields.confidence,
       threshold: settings.confidenceThreshold,
-      gains,
+      gains: confidenceGains,
       beginsWithin: name => request.estimateTimeToFirstToken(name),
       timeLeft: request.admitted.request.receivedAt + request.route.latencyObjective - clock.now(),
     })
@@ -195,7 +196,7 @@
     if (model === undefined) return
     const { lastConfidence } = request
     if (lastConfidence && lastConfidence.model !== model)
-      noteConfidences(request.services.gains, lastConfidence, { model, confidence })
+      recordConfidences(request.services.confidenceGains, lastConfidence, { model, confidence })
     request.lastConfidence = { model, confidence }
   }
 
@@ -211,7 +212,7 @@
       relay.isFramed = head.fields.isFramed
       request.answer.start(
         head.status,
-        request.services.dialect.writeAnswer(head.headers),
+        request.services.dialect.writeResponse(head.headers),
         relay.isFramed,
       )
     })
@@ -247,7 +248,7 @@
   }
 
   /** Handles an answer that is not a stream: a rejection or an error. */
-  #handleErrorResponse(head: AnswerHead): void {
+  #handleErrorResponse(head: ResponseHead): void {
     const { request, upstream } = this
     const { isNotRun } = head.fields
     if (request.isMisdirected(head, upstream)) {
@@ -305,7 +306,7 @@
     const { request, upstream } = this
     if (!this.#head) {
       if (this.#prefill)
-        request.recordUnfinished(upstream, this.#model, 'start', this.#prefill.waited())
+        request.recordUnfinished(upstream, this.#model, 'start', this.#prefill.currentSlowdown())
     } else if (!this.#hasPace && this.#firstEventAt !== undefined) {
       const paceSoFar = (this.#sinceStart() - this.#firstEventAt) / this.#chunkCount
       request.recordUnfinished(upstream, this.#model, 'pace', paceSoFar)
@@ -331,6 +332,6 @@
   }
 }
 
-function isStream({ status, fields }: AnswerHead): boolean {
+function isStream({ status, fields }: ResponseHead): boolean {
   return status >= 200 && status < 300 && fields.isSigned && !fields.isEncoded
 }
--- a/packages/gateway/src/requests/forwardedRequest.ts
+++ b/packages/gateway/src/requests/forwardedRequest.ts
@@ -3,10 +3,10 @@
   retryShareOf,
   type ExchangeOutcome,
   type Milliseconds,
-  type PromptWork,
+  type PrefillWork,
 } from '@yewkeel/decisions'
 import type { GatewayServices } from '../types/services.js'
-import type { CallerAnswer, OutgoingFields } from '../types/ports.js'
+import type { CallerResponse, OutgoingFields } from '../types/ports.js'
 import type { AnswerKey, TimedAspect } from '../tasks/versionJudge.js'
 import type { Upstream } from '../types/upstream.js'
 import type { AdmittedRequest } from './admitCaller.js'
@@ -14,7 +14,7 @@
 import {
   exchangeWithUpstream,
   MISDIRECTED,
-  type AnswerHead,
+  type ResponseHead,
   type ExchangeHandler,
   type RunningExchange,
 } from './exchangeWithUpstream.js'
@@ -57,9 +57,9 @@
   constructor(
     readonly services: GatewayServices,
     readonly admitted: AdmittedRequest,
-    readonly answer: CallerAnswer,
+    readonly answer: CallerResponse,
   ) {
-    const { clock, rollouts, retries, metrics } = services
+    const { clock, rollouts, retryShares, metrics } = services
     this.#attemptLog = new AttemptLog(clock, admitted.request.receivedAt)
     this.#suspect = createSuspectRequest(services, admitted)
     this.#crashProbe = new CrashProbe(services, admitted, this.#suspect)
@@ -75,12 +75,12 @@
     this.#attempts = new AttemptTracker({
       clock,
       metrics,
-      share: retryShareOf(retries, admitted.service),
-      sharingBoxes: () => services.sharingBoxes(),
+      share: retryShareOf(retryShares, admitted.service),
+      sharingBoxes: () => services.budgetBoxCount(),
       maxAttempts: admitted.route.maxAttempts,
     })
     this.#timer = clock.after(admitted.deadline - clock.now(), () => this.#handleDeadline())
-    answer.onGone(() => this.finish('caller-left', undefined))
+    answer.onDisconnect(() => this.finish('caller-left', undefined))
   }
 
   get route() {
@@ -103,7 +103,9 @@
    */
   async mayRun(hasBegun = false): Promise<boolean> {
     await this.#crashProbe.settled
-    const turn = await this.#suspect.awaitTurn(this.admitted.deadline - 2 * ROUND_TRIP_ALLOWANCE)
+    const turn = await this.#suspect.waitForAdmission(
+      this.admitted.deadline - 2 * ROUND_TRIP_ALLOWANCE,
+    )
     if (this.isOver) {
       // The caller disconnected, or the deadline passed, during the wait.
       this.#suspect.endTrial()
@@ -128,7 +130,7 @@
    * right.
    */
   #rejectQuarantined(): void {
-    const headers = this.services.dialect.writeRefusal(this.admitted.fields.id, undefined)
+    const headers = this.services.dialect.writeRejection(this.admitted.fields.id, undefined)
     this.answer.start(QUARANTINED_STATUS, headers, true)
     this.answer.end(
       `upstreams ended under this request, ${this.#suspect.crashes} in a row: it is not run again for now`,
@@ -165,7 +167,7 @@
   }
 
   /** Selects an upstream, and waits for one briefly if none accepts the request at once. */
-  findUpstream(prompt?: PromptWork): Promise<Upstream | undefined> {
+  findUpstream(prompt?: PrefillWork): Promise<Upstream | undefined> {
     return this.#search.find(prompt)
   }
 
@@ -175,7 +177,7 @@
     fields: Pick<OutgoingFields, 'copyFrom' | 'lastEventId' | 'model'>,
     handler: ExchangeHandler,
   ): RunningExchange {
-    const { clock, dialect, statements } = this.services
+    const { clock, dialect, advertisements } = this.services
     const { request, organisation, route } = this.admitted
     const outgoing: OutgoingFields = {
       timeLeft: Math.max(1, Math.floor(this.timeLeft - ROUND_TRIP_ALLOWANCE)),
@@ -187,11 +189,11 @@
     this.tried.push(upstream.run)
     this.#lastAttempt = {
       upstream,
-      send: this.#suspect.noteSent(upstream.run),
+      send: this.#suspect.recordSend(upstream.run),
       sentAt: clock.now(),
     }
     this.#attempts.recordSent()
-    upstream.said.sent++
+    upstream.advertised.sentSinceLog++
     this.#attemptLog.begin(upstream.listed, fields.model)
     const exchange = exchangeWithUpstream(
       upstream,
@@ -208,7 +210,7 @@
       {
         ...handler,
         onHead: head => {
-          statements.take(upstream, head, exchange.startedAt)
+          advertisements.recordAnswer(upstream, head, exchange.startedAt)
           this.#attemptLog.recordHead(head)
           return handler.onHead(head)
         },
@@ -232,7 +234,7 @@
    * Whether another process at the upstream's address rejected the request. A 421 without the
    * process's name may also mean that the upstream lacks the model, if the caller chose the model.
    */
-  isMisdirected({ status, fields }: AnswerHead, upstream: Upstream): boolean {
+  isMisdirected({ status, fields }: ResponseHead, upstream: Upstream): boolean {
     if (status !== MISDIRECTED || !fields.isNotRun) return false
     if (fields.answeredBy !== undefined) return fields.answeredBy !== upstream.listed.id
     return this.route.kind !== 'streaming' || this.route.models.length > 0
@@ -249,12 +251,12 @@
     this.#attemptLog.end(detail)
     // A rejected attempt does not restart the wait, so that rejections cannot prolong it.
     if (outcome !== 'shed' && outcome !== 'gone') this.#search.restartWait()
-    if (outcome) this.services.outcomes.note(upstream, outcome)
+    if (outcome) this.services.outcomes.record(upstream, outcome)
   }
 
   /** Counts a success or failure of the upstream's version. */
   recordAnswer(upstream: Upstream, isGood: boolean): void {
-    this.services.rollouts.judge.noteOutcome(this.#keyOf(upstream, ''), isGood)
+    this.services.rollouts.evaluator.recordOutcome(this.#keyOf(upstream, ''), isGood)
   }
 
   /**
@@ -267,7 +269,7 @@
     aspect: TimedAspect,
     sample: number,
   ): void {
-    this.services.rollouts.judge.noteTime(this.#keyOf(upstream, model), aspect, sample)
+    this.services.rollouts.evaluator.recordDuration(this.#keyOf(upstream, model), aspect, sample)
   }
 
   /** Records a lower bound of such a sample, of an answer that was cancelled. */
@@ -277,7 +279,11 @@
     aspect: TimedAspect,
     sampleSoFar: number,
   ): void {
-    this.services.rollouts.judge.noteUnfinished(this.#keyOf(upstream, model), aspect, sampleSoFar)
+    this.services.rollouts.evaluator.recordUnfinished(
+      this.#keyOf(upstream, model),
+      aspect,
+      sampleSoFar,
+    )
   }
 
   #keyOf({ listed }: Upstream, model: string | undefined): AnswerKey {
@@ -296,8 +302,8 @@
   }
 
   /** A complete, framed answer shows that the request did not crash the upstream. */
-  recordCompletion(head: AnswerHead): void {
-    if (head.fields.isFramed) this.#suspect.noteWhole()
+  recordCompletion(head: ResponseHead): void {
+    if (head.fields.isFramed) this.#suspect.recordCompleteAnswer()
   }
 
   recordConfidence(confidence: number): void {
@@ -315,9 +321,9 @@
   }
 
   /** Sends an upstream's complete answer to the caller unchanged. */
-  deliver(head: AnswerHead, body: Buffer): void {
+  deliver(head: ResponseHead, body: Buffer): void {
     if (this.isOver) return
-    const headers = this.services.dialect.writeAnswer(head.headers)
+    const headers = this.services.dialect.writeResponse(head.headers)
     const { isFramed } = head.fields
     // Without a length nobody can tell whether the answer is complete, so none is added.
     if (isFramed) headers.push('content-length', String(body.length))
@@ -335,7 +341,7 @@
     const isLate = this.timeLeft <= 0
     const status = !this.mayHaveRun ? NOT_RUN_STATUS : isLate ? 504 : 502
     const retryAfter = this.mayHaveRun ? undefined : this.#search.retryAfter()
-    const headers = this.services.dialect.writeRefusal(this.admitted.fields.id, retryAfter)
+    const headers = this.services.dialect.writeRejection(this.admitted.fields.id, retryAfter)
     this.answer.start(status, headers, true)
     this.answer.end(reason)
     this.finish(reason, status)
@@ -374,7 +380,9 @@
     services.log.request(
       {
         id: fields.id,
-        ...(this.#suspect.knownDigest !== undefined && { request: this.#suspect.knownDigest }),
+        ...(this.#suspect.computedDigest !== undefined && {
+          request: this.#suspect.computedDigest,
+        }),
         route: route.name,
         service: admitted.service,
         organisation: organisation?.name,
@@ -385,7 +393,9 @@
         configuration: services.operators.index?.configuration.revision,
         configurationAge: Math.round(services.operators.age),
         tries: this.#attemptLog.records,
-        ...(status === NOT_RUN_STATUS && { held: services.upstreams.heldBack(admitted.service) }),
+        ...(status === NOT_RUN_STATUS && {
+          held: services.upstreams.countRestricted(admitted.service),
+        }),
         sends: this.#attempts.attempts,
       },
       isFailure,
--- a/packages/gateway/src/requests/handleCaller.ts
+++ b/packages/gateway/src/requests/handleCaller.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds, Route } from '@yewkeel/decisions'
-import type { CallerAnswer, CallerRequest } from '../types/ports.js'
+import type { CallerResponse, CallerRequest } from '../types/ports.js'
 import type { GatewayServices } from '../types/services.js'
 import { admitCaller, type Freshness, type Rejection } from './admitCaller.js'
 import { forwardCall } from './forwardCall.js'
@@ -33,7 +33,7 @@
   services: GatewayServices,
   drainingFor: Milliseconds,
   request: CallerRequest,
-  answer: CallerAnswer,
+  answer: CallerResponse,
 ): void {
   const { dialect, operators, random, log } = services
   const fields = dialect.readRequest(request.headers)
@@ -44,7 +44,7 @@
     return reject(services, request, fields.id, answer, { status: 503, reason: 'leaving' })
   const forwarded = new ForwardedRequest(services, admitted, answer)
   FORWARDERS[admitted.route.kind](forwarded).catch((error: unknown) => {
-    log.note('request-failed', { id: fields.id, error: String(error) })
+    log.event('request-failed', { id: fields.id, error: String(error) })
     forwarded.fail('internal error')
   })
 }
@@ -62,11 +62,11 @@
   { dialect, metrics, log, operators }: GatewayServices,
   request: CallerRequest,
   id: string,
-  answer: CallerAnswer,
+  answer: CallerResponse,
   why: Rejection,
 ): void {
   const retryAfter = why.status === 503 ? REJECTED_RETRY_AFTER : undefined
-  answer.start(why.status, dialect.writeRefusal(id, retryAfter), true)
+  answer.start(why.status, dialect.writeRejection(id, retryAfter), true)
   answer.end(why.reason)
   metrics.count('requests', why.reason)
   log.request(
--- a/packages/gateway/src/requests/stallWatch.ts
+++ b/packages/gateway/src/requests/stallWatch.ts
@@ -33,7 +33,7 @@
 
   start(): void {
     every(this.clock, CHECK_INTERVAL, () => {
-      this.reachability.look(this.waitingSince())
+      this.reachability.probeSilent(this.waitingSince())
       this.check()
     })
   }
@@ -57,7 +57,7 @@
   }
 
   /** Treats all streams of an unreachable upstream as stalled. */
-  giveUpOn(upstream: Upstream): void {
+  stallStreamsOf(upstream: Upstream): void {
     const now = this.clock.now()
     for (const stream of this.#streams) {
       const { exchange } = stream
--- a/packages/gateway/src/requests/tryAccount.ts
+++ b/packages/gateway/src/requests/tryAccount.ts
@@ -1,4 +1,4 @@
-import { hasRetry, noteRequest, takeRetry, type Clock, type RetryShare } from '@yewkeel/decisions'
+import { canRetry, recordRequest, takeRetry, type Clock, type RetryShare } from '@yewkeel/decisions'
 import type { GatewayMetrics } from '../types/ports.js'
 
 export interface AttemptTrackerOptions {
@@ -27,7 +27,7 @@
   #possibleRuns = 0
 
   constructor(private readonly options: AttemptTrackerOptions) {
-    noteRequest(options.share, options.clock.now())
+    recordRequest(options.share, options.clock.now())
   }
 
   /** Upstreams that accepted the request, or may have. */
@@ -97,6 +97,6 @@
 
   get #canPayRetry(): boolean {
     const { share, sharingBoxes, clock } = this.options
-    return hasRetry(share, sharingBoxes(), clock.now())
+    return canRetry(share, sharingBoxes(), clock.now())
   }
 }
--- a/packages/gateway/src/requests/tryLog.ts
+++ b/packages/gateway/src/requests/tryLog.ts
@@ -1,5 +1,5 @@
 import type { Clock, ListedUpstream, Milliseconds } from '@yewkeel/decisions'
-import type { AnswerHead } from './exchangeWithUpstream.js'
+import type { ResponseHead } from './exchangeWithUpstream.js'
 
 /** One attempt at an upstream, as logged. */
 interface AttemptRecord {
@@ -50,7 +50,7 @@
   }
 
   /** Records rate limit, drain notice and Retry-After of the answer's headers. */
-  recordHead({ fields: { limit, isLeaving, retryAfter } }: AnswerHead): void {
+  recordHead({ fields: { limit, isLeaving, retryAfter } }: ResponseHead): void {
     const record = this.records.at(-1)
     if (!record) return
     if (limit !== undefined) record.limit = limit
--- a/packages/gateway/src/requests/upstreamSearch.ts
+++ b/packages/gateway/src/requests/upstreamSearch.ts
@@ -1,12 +1,12 @@
 import {
-  noteServed,
-  waitersAhead,
+  recordServed,
+  requestsAhead,
   type Milliseconds,
-  type PromptWork,
-  type Waiter,
-  type WaitingLine,
+  type PrefillWork,
+  type QueuedRequest,
+  type WaitQueue,
 } from '@yewkeel/decisions'
-import type { PickQuery } from '../tasks/upstreamDirectory.js'
+import type { UpstreamQuery } from '../tasks/upstreamDirectory.js'
 import type { GatewayServices } from '../types/services.js'
 import type { Upstream } from '../types/upstream.js'
 import type { AdmittedRequest } from './admitCaller.js'
@@ -33,7 +33,7 @@
 
 /** Selects the upstream for each attempt of one request. */
 export class UpstreamSearch {
-  readonly #waiter: Waiter
+  readonly #waiter: QueuedRequest
   #waitStartedAt: Milliseconds
 
   constructor(private readonly options: UpstreamSearchOptions) {
@@ -60,9 +60,9 @@
    * Selects an upstream, and waits for one briefly unless none could accept the request in that
    * time.
    */
-  async find(prompt?: PromptWork): Promise<Upstream | undefined> {
+  async find(prompt?: PrefillWork): Promise<Upstream | undefined> {
     const { services, admitted } = this.options
-    const queue = services.upstreams.lineOf(admitted.service)
+    const queue = services.upstreams.queueOf(admitted.service)
     queue.waiters.add(this.#waiter)
     try {
       return await this.#awaitUpstream(queue, this.#query(prompt))
@@ -71,20 +71,20 @@
     }
   }
 
-  async #awaitUpstream(queue: WaitingLine, query: PickQuery): Promise<Upstream | undefined> {
+  async #awaitUpstream(queue: WaitQueue, query: UpstreamQuery): Promise<Upstream | undefined> {
     const { services, admitted, isOver } = this.options
     const { clock, upstreams } = services
     const waitEndsAt = this.#waitStartedAt + MAX_WAIT_FRACTION * admitted.route.latencyObjective
     for (;;) {
-      query.ahead = waitersAhead(queue, this.#waiter)
+      query.queuedAhead = requestsAhead(queue, this.#waiter)
       const upstream = upstreams.pick(query)
-      if (upstream && upstreams.isHeld(upstream)) noteServed(queue, this.#waiter)
-      if (upstream) upstreams.noteChosen(upstream)
+      if (upstream && upstreams.isRateLimited(upstream)) recordServed(queue, this.#waiter)
+      if (upstream) upstreams.recordSend(upstream)
       if (
         upstream ||
         isOver() ||
         clock.now() >= waitEndsAt ||
-        !upstreams.couldTake(query, waitEndsAt)
+        !upstreams.canSendBefore(query, waitEndsAt)
       )
         return upstream
       await new Promise<void>(resolve => clock.after(POLL_INTERVAL, resolve))
@@ -95,7 +95,7 @@
    * Estimated time to the first token of an answer to the prompt, with the last upstream eligible
    * again. Infinite if none accepts it.
    */
-  estimateTimeToFirstToken(prompt: PromptWork): Milliseconds {
+  estimateTimeToFirstToken(prompt: PrefillWork): Milliseconds {
     const tried = this.options.tried.slice(0, -1)
     return this.options.services.upstreams.beginsWithin({ ...this.#query(prompt), tried, prompt })
   }
@@ -103,12 +103,12 @@
   /** Retry-After for a rejected caller, with random jitter while upstreams restrict their rate. */
   retryAfter(): Milliseconds {
     const { upstreams, random } = this.options.services
-    const reopensIn = upstreams.reopensIn({ ...this.#query(undefined), tried: [] })
+    const reopensIn = upstreams.availableIn({ ...this.#query(undefined), tried: [] })
     if (reopensIn === 0) return MIN_RETRY_AFTER
     return Math.max(MIN_RETRY_AFTER, reopensIn) * (1 + random())
   }
 
-  #query(prompt: PromptWork | undefined): PickQuery {
+  #query(prompt: PrefillWork | undefined): UpstreamQuery {
     const { services, admitted, tried, admits, crashes } = this.options
     const { service, request } = admitted
     const trial = services.rollouts.trialOf(service)
@@ -119,7 +119,7 @@
       tried,
       ...(prompt && { prompt }),
       bodyBytes: request.body.length,
-      channelLimit: services.channelLimit(service),
+      connectionLimit: services.connectionLimit(service),
       crashes: crashes(),
     }
   }
--- a/packages/gateway/src/tasks/condemnedTask.ts
+++ b/packages/gateway/src/tasks/condemnedTask.ts
@@ -1,10 +1,10 @@
 import { every } from '@yewkeel/box'
 import { sleep, type Clock, type Milliseconds, type Timer } from '@yewkeel/decisions'
 import type { EventLog, Store } from '../types/ports.js'
-import type { CondemnedEntry } from '@yewkeel/box'
+import type { QuarantineEntry } from '@yewkeel/box'
 import type { CrashSuspects } from '@yewkeel/box'
 
-export interface CondemnedTaskOptions {
+export interface QuarantineTaskOptions {
   clock: Clock
   log: EventLog
   store: Store
@@ -29,17 +29,17 @@
 const MAX_WRITE_ATTEMPTS = 3
 
 /**
- * Stores condemned requests: quarantined ones that are rejected because they crash upstreams. The
+ * Stores quarantined requests, which are rejected because they crash upstreams. The
  * store preserves them when all boxes restart at once. A starting box receives them from its
  * neighbours; only if none has them do the readers read the store.
  */
-export class CondemnedTask {
+export class QuarantineTask {
   /** Whether this box has all entries from before it started. */
   isComplete: boolean
   #expiryTimer: Timer | undefined
   #isStopped = false
 
-  constructor(private readonly options: CondemnedTaskOptions) {
+  constructor(private readonly options: QuarantineTaskOptions) {
     this.isComplete = options.isFirstStart
   }
 
@@ -61,12 +61,12 @@
       await sleep(clock, isStarting ? FAST_POLL_INTERVAL : SLOW_POLL_INTERVAL)
       if (this.isComplete || !isReader()) continue
       try {
-        const entries = await store.readCondemned()
-        suspects.takeCondemned(entries)
-        if (entries.length > 0) log.note('condemned-read', { requests: entries.length })
+        const entries = await store.readQuarantined()
+        suspects.addQuarantined(entries)
+        if (entries.length > 0) log.event('condemned-read', { requests: entries.length })
         this.isComplete = true
       } catch (error) {
-        log.note('condemned-read-failed', { error: String(error) })
+        log.event('condemned-read-failed', { error: String(error) })
         await sleep(clock, RETRY_DELAY)
       }
     }
@@ -75,14 +75,14 @@
   /**
    * Writes an entry with retries. A final failure is only logged: other boxes also have the entry.
    */
-  async write(entry: CondemnedEntry): Promise<void> {
+  async write(entry: QuarantineEntry): Promise<void> {
     const { clock, log, store } = this.options
     for (let tried = 1; tried <= MAX_WRITE_ATTEMPTS; tried++) {
       try {
-        await store.writeCondemned(entry)
+        await store.writeQuarantined(entry)
         return
       } catch (error) {
-        log.note('condemned-write-failed', { request: entry.request, tried, error: String(error) })
+        log.event('condemned-write-failed', { request: entry.request, tried, error: String(error) })
         await sleep(clock, RETRY_DELAY * tried)
       }
     }
@@ -90,14 +90,14 @@
 
   async #removeExpired(): Promise<void> {
     const { log, store, suspects, isReader } = this.options
-    const expired = suspects.forgetLapsed()
+    const expired = suspects.removeExpired()
     if (expired.length === 0) return
-    log.note('condemned-lapsed', { requests: expired })
+    log.event('condemned-lapsed', { requests: expired })
     if (!isReader()) return
     try {
-      await store.removeCondemned(expired)
+      await store.removeQuarantined(expired)
     } catch (error) {
-      log.note('condemned-remove-failed', { requests: expired, error: String(error) })
+      log.event('condemned-remove-failed', { requests: expired, error: String(error) })
     }
   }
 }
--- a/packages/gateway/src/tasks/engineWork.ts
+++ b/packages/gateway/src/tasks/engineWork.ts
@@ -1,21 +1,21 @@
 import {
   addOwnWork,
   allWork,
-  changedWork,
-  changeWorkRole,
-  createUnreadWork,
-  createWorkEstimates,
-  expectModels,
+  takeChangedWork,
+  clearReportedWork,
+  createPendingWork,
+  createPrefillEstimates,
+  initialiseModelRates,
   forgetWork,
-  noteFirstEvent,
-  takeBoxWork,
-  takeWorkSums,
-  unkeptWorkOf,
-  unreadAt,
-  workOf,
+  sampleFirstToken,
+  recordBoxWork,
+  recordWorkSums,
+  uncachedPrefillTimeOf,
+  pendingWorkAt,
+  prefillTimeOf,
   type Clock,
   type Milliseconds,
-  type PromptWork,
+  type PrefillWork,
   type WorkEntry,
   type WorkRole,
 } from '@yewkeel/decisions'
@@ -24,11 +24,11 @@
 export interface EngineWorkOptions {
   clock: Clock
   /** Sends changed entries to the boxes that receive the work of this one. */
-  tell(entries: WorkEntry[]): void
+  send(entries: WorkEntry[]): void
   /** Determines which boxes receive the work of this one. */
   role(): WorkRole
   /** How many boxes receive it. */
-  listeners(): number
+  recipientCount(): number
 }
 
 /** Changes are batched for at least this long. */
@@ -37,7 +37,7 @@
 const MAX_MESSAGES_PER_SECOND = 200
 const SECOND: Milliseconds = 1_000
 
-/** Weight of a new sample in the moving average of an engine's slowness. */
+/** Weight of a new sample in the moving average of an engine's prefill slowdown. */
 const SLOWNESS_WEIGHT = 0.08
 const MIN_SLOWNESS = 0.5
 const MAX_SLOWNESS = 8
@@ -45,14 +45,14 @@
 const SLOWNESS_SLACK: Milliseconds = 60
 
 /** A prompt sent to an engine, from dispatch until its prefill is done. */
-export interface ReadingPrompt {
+export interface PrefillTracker {
   /**
    * Records the first event of the answer. Returns the ratio of the time it took to the time
    * expected with an empty prefix cache, since engines of a new version start with an empty one.
    */
-  answered(): number
+  recordFirstEvent(): number
   /** The same ratio for an answer that has not begun, by the time waited so far. */
-  waited(): number
+  currentSlowdown(): number
   /** The exchange ended, with or without an answer. */
   end(): void
 }
@@ -61,17 +61,17 @@
  * Tracks the prefill work queued at each engine: from this box and, as they report it, from others.
  */
 export class EngineWork {
-  readonly #estimates = createWorkEstimates()
-  readonly #pendingPrefill = createUnreadWork()
+  readonly #estimates = createPrefillEstimates()
+  readonly #pendingPrefill = createPendingWork()
   readonly #slowness = new Map<string, number>()
   #isSendScheduled = false
 
   constructor(private readonly options: EngineWorkOptions) {}
 
   /** Estimates the prefill work of a request's prompt with one of the models of its route. */
-  promptWork(fields: RequestFields, model: string, models: readonly string[]): PromptWork {
+  promptWork(fields: RequestFields, model: string, models: readonly string[]): PrefillWork {
     const { promptParts, promptTokens } = fields
-    expectModels(this.#estimates, models)
+    initialiseModelRates(this.#estimates, models)
     // The last part belongs to the request or its session; requests with the same other parts share
     // a home upstream, so that these are in its prefix cache.
     const textParts = promptParts.slice(0, -1)
@@ -81,10 +81,10 @@
     return {
       model,
       isLargerModel: models.indexOf(model) > 0,
-      whole: workOf(this.#estimates, model, promptTokens),
-      shared: workOf(this.#estimates, model, sharedTokens),
+      prefillTime: prefillTimeOf(this.#estimates, model, promptTokens),
+      sharedPrefillTime: prefillTimeOf(this.#estimates, model, sharedTokens),
       sharedTokens,
-      ...(ids !== '' && { homeKey: `${model} ${ids}` }),
+      ...(ids !== '' && { prefixKey: `${model} ${ids}` }),
     }
   }
 
@@ -102,27 +102,27 @@
    * Records that a prompt was sent. `isUsual`: the answer may update the estimates, unlike that of
    * a version on trial.
    */
-  begin(upstream: string, work: PromptWork, tokens: number, isUsual: boolean): ReadingPrompt {
+  begin(upstream: string, work: PrefillWork, tokens: number, isUsual: boolean): PrefillTracker {
     const pending = this.#pendingWork(upstream)
-    const expected = pending + work.whole
-    const expectedUncached = pending + unkeptWorkOf(this.#estimates, work.model, tokens)
+    const expected = pending + work.prefillTime
+    const expectedUncached = pending + uncachedPrefillTimeOf(this.#estimates, work.model, tokens)
     const startedAt = this.options.clock.now()
-    this.#add(upstream, work.whole)
+    this.#add(upstream, work.prefillTime)
     let hasEnded = false
     const end = () => {
       if (hasEnded) return
       hasEnded = true
-      this.#add(upstream, -work.whole)
+      this.#add(upstream, -work.prefillTime)
     }
     const sinceStart = () => this.options.clock.now() - startedAt
     const waited = () => slowdownRatio(sinceStart(), Math.max(expected, expectedUncached))
     return {
       end,
-      waited,
-      answered: () => {
+      currentSlowdown: waited,
+      recordFirstEvent: () => {
         const took = sinceStart()
         const { sharedTokens } = work
-        if (isUsual) noteFirstEvent(this.#estimates, work.model, { tokens, sharedTokens }, took)
+        if (isUsual) sampleFirstToken(this.#estimates, work.model, { tokens, sharedTokens }, took)
         this.#updateSlowness(upstream, slowdownRatio(took, expected))
         end()
         return waited()
@@ -131,7 +131,7 @@
   }
 
   #pendingWork(upstream: string): Milliseconds {
-    return unreadAt(this.#pendingPrefill, upstream, this.options.clock.now())
+    return pendingWorkAt(this.#pendingPrefill, upstream, this.options.clock.now())
   }
 
   #updateSlowness(upstream: string, sample: number): void {
@@ -143,14 +143,14 @@
   /** Records work that another box sent. A member ignores it, since the relay's sums include it. */
   recordPeerWork(box: string, entries: readonly WorkEntry[]): void {
     if (this.options.role() === 'member') return
-    takeBoxWork(this.#pendingPrefill, box, entries, this.options.clock.now())
+    recordBoxWork(this.#pendingPrefill, box, entries, this.options.clock.now())
     if (this.options.role() === 'relay') this.#scheduleSend()
   }
 
   /** Records the relay's sums of the work of this data centre. */
   recordDataCentreWork(entries: readonly WorkEntry[]): void {
     if (this.options.role() !== 'member') return
-    takeWorkSums(this.#pendingPrefill, entries, this.options.clock.now())
+    recordWorkSums(this.#pendingPrefill, entries, this.options.clock.now())
   }
 
   /** All entries that this box sends, for recipients that may have missed a change. */
@@ -165,7 +165,7 @@
 
   /** Resets the work known of other boxes, and what they were sent, after a change of role. */
   changeRole(): void {
-    changeWorkRole(this.#pendingPrefill)
+    clearReportedWork(this.#pendingPrefill)
   }
 
   forget(upstream: string): void {
@@ -181,15 +181,15 @@
   #scheduleSend(): void {
     if (this.#isSendScheduled) return
     this.#isSendScheduled = true
-    const delay = (SECOND * this.options.listeners()) / MAX_MESSAGES_PER_SECOND
+    const delay = (SECOND * this.options.recipientCount()) / MAX_MESSAGES_PER_SECOND
     this.options.clock.after(Math.max(BATCH_DELAY, delay), () => this.#sendChanges())
   }
 
   #sendChanges(): void {
     this.#isSendScheduled = false
-    const { clock, role, tell } = this.options
-    const entries = changedWork(this.#pendingPrefill, role(), clock.now())
-    if (entries.length > 0) tell(entries)
+    const { clock, role, send } = this.options
+    const entries = takeChangedWork(this.#pendingPrefill, role(), clock.now())
+    if (entries.length > 0) send(entries)
   }
 }
 
--- a/packages/gateway/src/tasks/entryTask.ts
+++ b/packages/gateway/src/tasks/entryTask.ts
@@ -52,7 +52,7 @@
       this.#delay = REMOVAL_INTERVAL
     } catch (error) {
       this.#delay = this.#hasEntry ? REMOVAL_INTERVAL : Math.min(MAX_BACKOFF, 2 * this.#delay)
-      log.note('entry-failed', { error: String(error), pause: this.#delay })
+      log.event('entry-failed', { error: String(error), pause: this.#delay })
     }
     this.#timer = clock.after(this.#delay, () => void this.#run())
   }
@@ -100,7 +100,7 @@
     const removed = entries.filter(entry => silent.has(entry.box)).map(entry => entry.box)
     if (removed.length === 0) return
     await store.removeBoxes(removed)
-    log.note('entries-removed', { boxes: removed })
+    log.event('entries-removed', { boxes: removed })
   }
 }
 
--- a/packages/gateway/src/tasks/operatorTask.ts
+++ b/packages/gateway/src/tasks/operatorTask.ts
@@ -44,7 +44,7 @@
   }
 
   /** Applies a state. Returns false if it or its configuration is older than the current one. */
-  take(state: OperatorState): boolean {
+  apply(state: OperatorState): boolean {
     if (state.revision < this.#state.revision) return false
     if (state.fingerprint === this.#state.fingerprint) {
       this.#advanceRevision(state.revision)
@@ -57,7 +57,7 @@
     this.#state = state
     if (offered && offered.revision > current) {
       this.#index = createRouteIndex(offered)
-      this.options.log.note('configuration', {
+      this.options.log.event('configuration', {
         revision: offered.revision,
         before: current,
         routes: offered.routes.length,
@@ -70,7 +70,7 @@
   }
 
   /** Confirms that the store, at `revision`, held the current state at `provedAt`. */
-  prove(revision: number, provedAt: Milliseconds): void {
+  recordConfirmation(revision: number, provedAt: Milliseconds): void {
     this.#advanceRevision(revision)
     confirm(this.#proof, provedAt)
   }
@@ -85,6 +85,6 @@
 
   #logEvacuations(before: readonly string[], dataCentres: readonly string[]): void {
     if (dataCentres.join() !== before.join())
-      this.options.log.note('evacuated', { dataCentres, before })
+      this.options.log.event('evacuated', { dataCentres, before })
   }
 }
--- a/packages/gateway/src/tasks/peerTask.ts
+++ b/packages/gateway/src/tasks/peerTask.ts
@@ -3,8 +3,8 @@
   hashText,
   relaysOf,
   ringNeighbours,
-  vouchedAt,
-  type BoxPlace,
+  earliestProofAt,
+  type BoxLocation,
   type Clock,
   type ListedUpstream,
   type Milliseconds,
@@ -18,11 +18,11 @@
   Gossip,
   OwnReport,
   FreshnessProof,
-  Statement,
+  Advertisement,
   UpstreamsMessage,
 } from '../types/gossip.js'
 import type { BoxEntry, EventLog, OperatorState } from '../types/ports.js'
-import type { SuspectNews } from '@yewkeel/box'
+import type { SuspectUpdate } from '@yewkeel/box'
 import { packRelayedReports, unpackRelayedReports, type RelayedReport } from './hearsay.js'
 import { KnownBoxes, SILENT_AFTER, type KnownBox } from './knownBoxes.js'
 import { DelayedBatch } from './newsBatch.js'
@@ -72,11 +72,11 @@
    * Returns the entries that were new to this box. `isComplete`: the entries include everything
    * quarantined before.
    */
-  onSuspects(entries: readonly SuspectNews[], isComplete: boolean): SuspectNews[]
+  onSuspects(entries: readonly SuspectUpdate[], isComplete: boolean): SuspectUpdate[]
   /** Returns the entries that were new to this box. */
-  onStatements(entries: readonly Statement[]): Statement[]
-  currentStatements(): Statement[]
-  currentSuspects(): { entries: SuspectNews[]; isComplete: boolean }
+  onAdvertisements(entries: readonly Advertisement[]): Advertisement[]
+  currentAdvertisements(): Advertisement[]
+  currentSuspects(): { entries: SuspectUpdate[]; isComplete: boolean }
 }
 
 /** Longer than a large configuration takes on a slow link, so that it is not transferred twice. */
@@ -105,7 +105,7 @@
   version: number
   neighbours: BoxEntry[]
   /** Every other box is a neighbour. */
-  isMesh: boolean
+  isFullMesh: boolean
 }
 
 /** Exchanges gossip and work with other boxes. Messages are small, and late ones are worthless. */
@@ -125,8 +125,8 @@
   #workRecipients: BoxEntry[] = []
   /** Runs of upstreams that have ended. */
   readonly #endedRuns: DelayedBatch<string>
-  readonly #suspects: DelayedBatch<SuspectNews>
-  readonly #statements: DelayedBatch<Statement>
+  readonly #suspects: DelayedBatch<SuspectUpdate>
+  readonly #advertisements: DelayedBatch<Advertisement>
   #fullRelayAt = -Infinity
   #cachedTopology: Topology | undefined
 
@@ -147,23 +147,23 @@
     'upstreams-gone': (_from, { runs }) => {
       const added = this.options.onUpstreamsGone(runs)
       // In a mesh the box that detected the end has already sent it to all.
-      if (!this.isMesh) this.announceEndedRuns(added)
+      if (!this.isFullMesh) this.announceEndedRuns(added)
     },
     upstreams: (_from, { entries, version, stamp, age }) =>
       this.options.onUpstreams(entries, version, age === undefined ? undefined : stamp - age),
     'statements-wanted': from => {
-      const entries = this.options.currentStatements()
+      const entries = this.options.currentAdvertisements()
       if (entries.length > 0) this.#reply(from, { type: 'statements', entries })
     },
     statements: (_from, { entries }) => {
-      const added = this.options.onStatements(entries)
-      if (!this.isMesh) this.announceStatements(added)
+      const added = this.options.onAdvertisements(entries)
+      if (!this.isFullMesh) this.announceAdvertisements(added)
     },
     'suspects-wanted': from =>
       this.#reply(from, { type: 'suspects', ...this.options.currentSuspects() }),
     suspects: (_from, { entries, isComplete = false }) => {
       const added = this.options.onSuspects(entries, isComplete)
-      if (!this.isMesh) this.announceSuspects(added)
+      if (!this.isFullMesh) this.announceSuspects(added)
     },
   }
 
@@ -179,7 +179,7 @@
     this.#suspects = new DelayedBatch(clock, BATCH_DELAY, entries =>
       broadcast({ type: 'suspects', entries }),
     )
-    this.#statements = new DelayedBatch(clock, BATCH_DELAY, entries =>
+    this.#advertisements = new DelayedBatch(clock, BATCH_DELAY, entries =>
       broadcast({ type: 'statements', entries }),
     )
     options.transport.listen({
@@ -226,7 +226,7 @@
   }
 
   /** All registered boxes including this one; empty until the entries have been read. */
-  places(): BoxPlace[] {
+  places(): BoxLocation[] {
     const { entries, hasEntries } = this.#known
     const { self } = this.options
     return hasEntries ? [...entries.filter(({ box }) => box !== self.box), self] : []
@@ -283,13 +283,13 @@
   /**
    * Sends crash suspects to the neighbours, batched: requests in flight when an upstream crashed.
    */
-  announceSuspects(entries: readonly SuspectNews[]): void {
+  announceSuspects(entries: readonly SuspectUpdate[]): void {
     this.#suspects.add(entries)
   }
 
   /** Sends rate limits and drain notices of upstreams to the neighbours, batched. */
-  announceStatements(entries: readonly Statement[]): void {
-    this.#statements.add(entries)
+  announceAdvertisements(entries: readonly Advertisement[]): void {
+    this.#advertisements.add(entries)
   }
 
   /**
@@ -298,9 +298,9 @@
    * shared.
    */
   #updateWorkRecipients(state: GatewayState): void {
-    const { neighbours, isMesh } = this.#topology
+    const { neighbours, isFullMesh } = this.#topology
     const role = this.#workRole
-    if (isMesh) {
+    if (isFullMesh) {
       this.#workRole = 'direct'
       this.#workRecipients = neighbours
     } else {
@@ -315,7 +315,7 @@
         this.#workRole === 'relay' ? near : near.filter(({ box }) => box === relay?.box)
     }
     if (this.#workRole === role) return
-    this.options.log.note('work-role', { role: this.#workRole })
+    this.options.log.event('work-role', { role: this.#workRole })
     this.options.onWorkRole()
   }
 
@@ -333,7 +333,7 @@
       stamp: now,
       own: { ...own, sequence: this.#nextSequence(now) },
       // In a mesh every box receives the reports of all others directly.
-      others: packRelayedReports(this.isMesh ? [] : this.#relayedReports(now)),
+      others: packRelayedReports(this.isFullMesh ? [] : this.#relayedReports(now)),
       work: this.#workRole === 'direct' ? this.options.currentWork() : [],
       ...content,
     }
@@ -365,14 +365,14 @@
     const { box } = this.options.self
     const { entries } = this.#known
     const neighbours = ringNeighbours(box, entries, entry => entry.box)
-    const isMesh = neighbours.length === entries.filter(entry => entry.box !== box).length
-    this.#cachedTopology = { version, neighbours, isMesh }
+    const isFullMesh = neighbours.length === entries.filter(entry => entry.box !== box).length
+    this.#cachedTopology = { version, neighbours, isFullMesh }
     return this.#cachedTopology
   }
 
   /** Whether every box is linked to every other, so that each receives the work of all. */
-  get isMesh(): boolean {
-    return this.#topology.isMesh
+  get isFullMesh(): boolean {
+    return this.#topology.isFullMesh
   }
 
   /**
@@ -413,7 +413,7 @@
       message.own,
       now,
     )
-    if (isChanged) log.note('peer', { peer: box, state: message.own.state })
+    if (isChanged) log.event('peer', { peer: box, state: message.own.state })
     const others = unpackRelayedReports(message.others)
     const knowsAll = others
       .map(report => this.#known.recordRelayedReport(report, now))
@@ -430,7 +430,7 @@
     const { operators, upstreams } = message
     const { onOperatorsProved, onUpstreamsProved } = this.options
     const provedAt = ({ age }: FreshnessProof) =>
-      vouchedAt({ echo: echo.stamp, heldFor: echo.heldFor, age })
+      earliestProofAt({ echo: echo.stamp, heldFor: echo.heldFor, age })
     if (operators && onOperatorsProved(operators, provedAt(operators)) === 'wanted')
       this.#request(from, { type: 'operators-wanted' })
     if (upstreams && onUpstreamsProved(upstreams, provedAt(upstreams)) === 'wanted')
--- a/packages/gateway/src/tasks/reachabilityWatch.ts
+++ b/packages/gateway/src/tasks/reachabilityWatch.ts
@@ -1,5 +1,5 @@
 import type { Clock, Milliseconds } from '@yewkeel/decisions'
-import { OPENS_WITHIN } from '../node/connectInTime.js'
+import { CONNECT_TIMEOUT } from '../node/connectInTime.js'
 import type { Upstream } from '../types/upstream.js'
 
 export interface ReachabilityWatchOptions {
@@ -49,7 +49,7 @@
    * Probes silent upstreams that have running requests. `waitingSince`: send time of the oldest
    * running request of each upstream; those left out are no longer watched.
    */
-  look(waitingSince: ReadonlyMap<Upstream, Milliseconds>): void {
+  probeSilent(waitingSince: ReadonlyMap<Upstream, Milliseconds>): void {
     for (const upstream of this.#schedules.keys())
       if (!waitingSince.has(upstream)) this.#schedules.delete(upstream)
     for (const [upstream, since] of waitingSince) this.#probeIfSilent(upstream, since)
@@ -85,17 +85,17 @@
     this.#running.delete(upstream)
     if (isReachable || upstream.health.lastHeardAt > probedAt) return 'open'
     onUnreachable(upstream)
-    return clock.now() - probedAt < OPENS_WITHIN ? 'refused' : 'silent'
+    return clock.now() - probedAt < CONNECT_TIMEOUT ? 'refused' : 'silent'
   }
 
   /** Probes an upstream until it is reachable or no longer listed. */
-  awaitReturn(upstream: Upstream): void {
+  probeUntilReachable(upstream: Upstream): void {
     const { clock, probe, isListed, onReachable } = this.options
     clock.after(REPROBE_INTERVAL, () => {
       if (!isListed(upstream)) return
       void probe(upstream).then(isReachable => {
         if (isReachable) onReachable(upstream)
-        else this.awaitReturn(upstream)
+        else this.probeUntilReachable(upstream)
       })
     })
   }
--- a/packages/gateway/src/tasks/rolloutTask.ts
+++ b/packages/gateway/src/tasks/rolloutTask.ts
@@ -1,13 +1,13 @@
 import {
   decideRollout,
   goesToTarget,
-  isOf,
-  isOver,
+  belongsToOrder,
+  isRolloutFinished,
   isTrialOver,
   keepsSessions,
   rejectedVersions,
   targetShare,
-  withoutRejected,
+  excludeRejected,
   type AnswerCount,
   type Clock,
   type ExposureLimit,
@@ -21,7 +21,7 @@
 } from '@yewkeel/decisions'
 import type { EventLog, Store } from '../types/ports.js'
 import type { UpstreamDirectory } from './upstreamDirectory.js'
-import { VersionJudge, type BoxAnswers } from './versionJudge.js'
+import { VersionEvaluator, type BoxAnswers } from './versionJudge.js'
 
 export interface RolloutTaskOptions {
   clock: Clock
@@ -32,7 +32,7 @@
   /** This box's rank among the boxes that may write statuses; 0 is the leader. */
   rank(): number
   /** Answer counts of all boxes, including this one. */
-  allAnswers(): readonly BoxAnswers[]
+  answerReports(): readonly BoxAnswers[]
   /** Maximum share of a service's requests that a bad version may receive. */
   exposureLimit(): ExposureLimit
   /** Called when this box finds a version bad or receives such a verdict. */
@@ -65,7 +65,7 @@
   readonly #statuses = new Map<string, RolloutStatus>()
   #storeOffset: Milliseconds | undefined
   /** Judges the versions that are rolled out. */
-  readonly judge: VersionJudge
+  readonly evaluator: VersionEvaluator
   /** Store time at which this box first read the order, by service. */
   readonly #orderedAt = new Map<string, Milliseconds>()
   /** Revision of the order whose target was found bad, by service. */
@@ -81,7 +81,7 @@
   readonly #writing = new Set<string>()
 
   constructor(private readonly options: RolloutTaskOptions) {
-    this.judge = new VersionJudge({
+    this.evaluator = new VersionEvaluator({
       isOnTrial: (service, version) => this.isOnTrial(service, version),
       onBadAnswer: () => this.options.onBadAnswer(),
     })
@@ -100,7 +100,7 @@
 
   /** This box's answer counts for gossip; empty without a rollout under way. */
   get answers(): AnswerCount[] {
-    return this.isUnderWay ? this.judge.counts : []
+    return this.isUnderWay ? this.evaluator.counts : []
   }
 
   /** Verdicts for gossip, including those that the store may not have yet. */
@@ -111,7 +111,7 @@
   /** Whether the version is being rolled out and may still be rolled back. */
   isOnTrial(service: string, version: string): boolean {
     const order = this.#orderOf(service)
-    return order?.target === version && !isOver(order, this.#statuses.get(service))
+    return order?.target === version && !isRolloutFinished(order, this.#statuses.get(service))
   }
 
   /** The target of the current rollout of a service and its share of requests now. */
@@ -129,7 +129,7 @@
   /** The target's share now; 0 once it is found bad, even if the store does not have that yet. */
   #shareOf(order: RolloutOrder, storeNow: Milliseconds): number {
     const status = this.#statuses.get(order.service)
-    if (this.#isMarkedBad(order) && !isOver(order, status)) return 0
+    if (this.#isMarkedBad(order) && !isRolloutFinished(order, status)) return 0
     const isDoubted = this.#doubtfulServices.has(order.service)
     return targetShare(order, status, storeNow, this.options.exposureLimit(), isDoubted)
   }
@@ -140,28 +140,28 @@
 
   /** Whether some order is neither completed nor rolled back. */
   get isUnderWay(): boolean {
-    return this.#orders.some(order => !isOver(order, this.#statuses.get(order.service)))
+    return this.#orders.some(order => !isRolloutFinished(order, this.#statuses.get(order.service)))
   }
 
   /**
    * Updates the offset to the store's clock. Latency only reduces an observed offset, so the
    * largest is the best estimate.
    */
-  noteStoreClock(storeNow: Milliseconds, at: Milliseconds): void {
+  updateStoreClock(storeNow: Milliseconds, at: Milliseconds): void {
     if (!Number.isFinite(storeNow)) return
     const offset = storeNow - at
     if (this.#storeOffset === undefined || offset > this.#storeOffset) this.#storeOffset = offset
   }
 
-  takeOrders(orders: readonly RolloutOrder[]): void {
+  applyOrders(orders: readonly RolloutOrder[]): void {
     if (orders.length !== this.#orders.length) this.#admissionRevision++
     for (const order of orders) {
       if (this.#orderOf(order.service)?.revision === order.revision) continue
-      this.judge.forget(order.service)
+      this.evaluator.forget(order.service)
       this.#orderedAt.delete(order.service)
       this.#doubtfulServices.delete(order.service)
       this.#admissionRevision++
-      this.options.log.note('rollout-ordered', { ...order })
+      this.options.log.event('rollout-ordered', { ...order })
     }
     this.#orders = orders
     this.#recordOrderTimes()
@@ -174,19 +174,19 @@
       if (!this.#orderedAt.has(service)) this.#orderedAt.set(service, storeNow)
   }
 
-  takeStatuses(statuses: readonly RolloutStatus[]): void {
+  mergeStatuses(statuses: readonly RolloutStatus[]): void {
     for (const status of statuses) {
       const known = this.#statuses.get(status.service)
       if (known && known.revision >= status.revision) continue
       this.#statuses.set(status.service, status)
       this.#admissionRevision++
       this.#pendingSince.delete(status.service)
-      this.options.log.note('rollout-status', { ...status })
+      this.options.log.event('rollout-status', { ...status })
     }
   }
 
   /** Applies verdicts of other boxes that match the current orders. */
-  takeVerdicts(verdicts: readonly Verdict[]): void {
+  mergeVerdicts(verdicts: readonly Verdict[]): void {
     for (const { service, revision } of verdicts) {
       const order = this.#orderOf(service)
       if (order?.revision === revision) this.#markBad(order, 'told')
@@ -202,7 +202,7 @@
     const startedAt = this.#statuses.get(service)?.startedAt
     const after =
       storeNow === undefined || startedAt === undefined ? undefined : storeNow - startedAt
-    this.options.log.note('version-condemned', { service, target, after, why })
+    this.options.log.event('version-condemned', { service, target, after, why })
     this.options.onVerdict()
   }
 
@@ -238,7 +238,7 @@
     const versions = this.options.upstreams.readyVersions(service)
     const others = [...versions.keys()].filter(version => version !== order.target)
     const hasOthers = others.length > 0
-    const isCompleted = status && isOf(status, order) && status.state === 'completed'
+    const isCompleted = status && belongsToOrder(status, order) && status.state === 'completed'
     // Sessions keep their version; other requests use another version while the target's upstreams
     // are throttled.
     const mayFallBack = isTarget && session === undefined && hasOthers && !isCompleted
@@ -249,7 +249,7 @@
     if (isTarget ? hasTarget : !hasOthers && shares.share > 0)
       return version => version === order.target
     if (isCompleted && hasTarget) return version => version === order.target
-    return withoutRejected(rejected, version => version !== order.target, versions.keys())
+    return excludeRejected(rejected, version => version !== order.target, versions.keys())
   }
 
   /** Without an order, admits only established versions as long as one of them is ready. */
@@ -260,7 +260,7 @@
     const isServed = [...established].some(version => versions.has(version))
     if (!isServed) for (const version of versions.keys()) established.add(version)
     if (established.size > 0) this.#established.set(service, established)
-    return withoutRejected(rejected, version => established.has(version), versions.keys())
+    return excludeRejected(rejected, version => established.has(version), versions.keys())
   }
 
   /** Evaluates every order and writes the resulting statuses. */
@@ -285,7 +285,7 @@
       storeNow,
       targetUpstreams,
       isTargetBad: this.#isMarkedBad(order),
-      isTargetDoubted: this.#doubtfulServices.has(order.service),
+      isTargetProbablyBad: this.#doubtfulServices.has(order.service),
       limit: this.options.exposureLimit(),
     })
     if (next === undefined) {
@@ -298,9 +298,9 @@
 
   #judgeTarget(order: RolloutOrder, targetUpstreams: number): void {
     const { service, target } = order
-    const reports = this.options.allAnswers()
+    const reports = this.options.answerReports()
     const now = this.options.clock.now()
-    const fault = this.judge.judge(service, target, targetUpstreams, reports, now)
+    const fault = this.evaluator.evaluate(service, target, targetUpstreams, reports, now)
     if (fault) this.#markBad(order, fault)
     if (this.options.rank() === 0) this.#logEvidence(order, now)
   }
@@ -313,11 +313,11 @@
     storeNow: Milliseconds,
   ): void {
     const { service, target } = order
-    if (!isOf(status, order)) return
+    if (!belongsToOrder(status, order)) return
     if (!isTrialOver(order, status, storeNow, this.options.exposureLimit())) return
-    const doubt = this.judge.findDoubt(service, target, targetUpstreams)
+    const doubt = this.evaluator.findDoubt(service, target, targetUpstreams)
     if (doubt && !this.#doubtfulServices.has(service))
-      this.options.log.note('version-doubted', { service, target, why: doubt })
+      this.options.log.event('version-doubted', { service, target, why: doubt })
     if (doubt) this.#doubtfulServices.add(service)
     else this.#doubtfulServices.delete(service)
   }
@@ -328,8 +328,8 @@
     this.#evidenceLoggedAt = now
     const { service, target } = order
     const share = this.trialOf(service)?.share
-    const evidence = this.judge.evidenceOf(service, target)
-    this.options.log.note('version-evidence', { service, target, share, ...evidence })
+    const evidence = this.evaluator.evidenceOf(service, target)
+    this.options.log.event('version-evidence', { service, target, share, ...evidence })
   }
 
   /**
@@ -354,15 +354,15 @@
     this.#writing.add(service)
     const { store, log } = this.options
     const orderedAt = this.#orderedAt.get(service) ?? storeNow
-    const startedAt = status && isOf(status, order) ? status.startedAt : orderedAt
+    const startedAt = status && belongsToOrder(status, order) ? status.startedAt : orderedAt
     try {
       const rejected = rejectedVersions(status, order)
       const next = { service, target, state, startedAt, rejected }
       const outcome = await store.writeRollout(next, status?.revision ?? 0)
-      log.note('rollout-written', { ...next, outcome })
-      this.takeStatuses((await store.readRollouts()).value)
+      log.event('rollout-written', { ...next, outcome })
+      this.mergeStatuses((await store.readRollouts()).value)
     } catch (error) {
-      log.note('rollout-write-failed', { service, state, error: String(error) })
+      log.event('rollout-write-failed', { service, state, error: String(error) })
     } finally {
       this.#writing.delete(service)
     }
--- a/packages/gateway/src/tasks/sendBudget.ts
+++ b/packages/gateway/src/tasks/sendBudget.ts
@@ -1,13 +1,13 @@
 import {
   coldShareOf,
-  limitNow,
+  currentLimit,
   limitShareOf,
-  limitTurn,
+  senderGroupAt,
   nextSendAt,
-  restOpensAt,
-  RETURN_EVERY,
+  nextSendAfterBackOff,
+  RECOVERY_INTERVAL,
   sendersOf,
-  type BoxPlace,
+  type BoxLocation,
   type Clock,
   type ColdStart,
   type Milliseconds,
@@ -20,19 +20,19 @@
   clock: Clock
   self: string
   /** The cold-start limit of a service; undefined where its upstreams start at full capacity. */
-  startOf(service: string): ColdStart | undefined
+  coldStartOf(service: string): ColdStart | undefined
   /** How far the rate of a cold upstream may exceed its cold-start limit. */
   overage(): GatewayLimits['coldOverage']
   /** Increases with each change of `boxes()`. */
   boxesVersion(): number
   /** The registered boxes, including this one; empty until the registry has been read. */
-  boxes(): readonly BoxPlace[]
+  boxes(): readonly BoxLocation[]
   /** Number of registered boxes; 0 until the registry has been read. */
   boxCount(): number
   /** Number of listed upstreams that advertise a rate limit. */
-  limited(): number
+  limitedCount(): number
   /** Whether this box has received recent gossip from other boxes. */
-  hearsOthers(): boolean
+  hasRecentGossip(): boolean
 }
 
 /** Reasons to throttle requests to an upstream. */
@@ -52,7 +52,7 @@
   at: Milliseconds
   interval: Milliseconds
   /** Estimated time until the upstream accepts a request from any box. */
-  reopensIn: Milliseconds
+  availableIn: Milliseconds
 }
 
 /** Whether this box is a sender; cached until the boxes, the rate or the sender group change. */
@@ -116,13 +116,13 @@
   }
 
   /** Estimated time until the upstream accepts a request from any box; 0 without a limit. */
-  reopensIn(upstream: Upstream, now: Milliseconds): Milliseconds {
-    return this.#scheduleFor(upstream, now)?.reopensIn ?? 0
+  availableIn(upstream: Upstream, now: Milliseconds): Milliseconds {
+    return this.#scheduleFor(upstream, now)?.availableIn ?? 0
   }
 
   /** Treats an upstream that was away as cold, even if its newest entry does not say so. */
   suspectCold(upstream: Upstream): void {
-    const start = this.options.startOf(upstream.listed.service)
+    const start = this.options.coldStartOf(upstream.listed.service)
     if (!start) return
     const until = this.options.clock.now() + start.lasts + ENTRY_UPDATE_DELAY
     upstream.coldUntil = Math.max(upstream.coldUntil, until)
@@ -146,13 +146,13 @@
     const { interval, senders } = rate
     const isSender = this.#isSender(source, upstream, rate)
     const at = isSender ? nextSendAt(rate, upstream.sentAt) : Infinity
-    return { at, interval, reopensIn: interval / senders }
+    return { at, interval, availableIn: interval / senders }
   }
 
   /** The rate during a cold start; undefined once the upstream is warm. */
   #coldRate(upstream: Upstream, now: Milliseconds): SharedRate | undefined {
     if (now >= upstream.coldUntil) return undefined
-    const start = this.options.startOf(upstream.listed.service)
+    const start = this.options.coldStartOf(upstream.listed.service)
     if (!start) return undefined
     const { perSecond } = start
     const { times, slack } = this.options.overage()
@@ -164,15 +164,18 @@
    * from the number of registered boxes, which does not change when one is partitioned or restarts.
    * A lower limit also counts requests already sent.
    */
-  #limitRate({ said: { limit } }: Upstream, now: Milliseconds): SharedRate | undefined {
-    const perSecond = limit && limitNow(limit, now)
+  #limitRate({ advertised: { limit } }: Upstream, now: Milliseconds): SharedRate | undefined {
+    const perSecond = limit && currentLimit(limit, now)
     if (!limit || perSecond === undefined) return undefined
-    const { boxCount, hearsOthers, limited } = this.options
+    const { boxCount, hasRecentGossip, limitedCount } = this.options
     const count = boxCount()
     const share = count === 0 ? UNKNOWN_BOXES_RATE : limitShareOf(perSecond, count)
     // While partitioned, this box cannot see whether the current senders are idle: keep the known
     // turn.
-    return { ...share, turn: hearsOthers() ? limitTurn(limit, limited(), now) : limit.turn }
+    return {
+      ...share,
+      turn: hasRecentGossip() ? senderGroupAt(limit, limitedCount(), now) : limit.turn,
+    }
   }
 
   #isSender(source: SharedSource, upstream: Upstream, rate: SharedRate): boolean {
@@ -196,18 +199,22 @@
 
 /** A back-off applies only to the box that was asked, so it is not shared. */
 function scheduleAfterBackOff(
-  { said, sentAt }: Upstream,
+  { advertised, sentAt }: Upstream,
   now: Milliseconds,
 ): SendSchedule | undefined {
-  const at = restOpensAt(said.restUntil, sentAt.at(-1), now)
+  const at = nextSendAfterBackOff(advertised.backOffUntil, sentAt.at(-1), now)
   if (at === undefined) return undefined
-  return { at, interval: RETURN_EVERY, reopensIn: Math.max(0, said.restUntil - now) }
+  return {
+    at,
+    interval: RECOVERY_INTERVAL,
+    availableIn: Math.max(0, advertised.backOffUntil - now),
+  }
 }
 
 function combineSchedules(left: SendSchedule, right: SendSchedule): SendSchedule {
   return {
     at: Math.max(left.at, right.at),
     interval: Math.max(left.interval, right.interval),
-    reopensIn: Math.max(left.reopensIn, right.reopensIn),
+    availableIn: Math.max(left.availableIn, right.availableIn),
   }
 }
--- a/packages/gateway/src/tasks/statementTask.ts
+++ b/packages/gateway/src/tasks/statementTask.ts
@@ -1,23 +1,23 @@
 import {
-  createStatedLimit,
-  limitNow,
-  NO_REST,
-  noteStatedLimit,
-  restUntil,
-  takeSharedLimit,
-  TURNS_AWAY,
+  createAdvertisedLimit,
+  currentLimit,
+  NO_BACK_OFF,
+  recordAdvertisedLimit,
+  extendBackOff,
+  mergeSharedLimit,
+  BACK_PRESSURE_STATUSES,
   type Clock,
   type Milliseconds,
   type SharedLimit,
-  type StatedLimit,
+  type AdvertisedLimit,
 } from '@yewkeel/decisions'
-import { MISDIRECTED, type AnswerHead } from '../requests/exchangeWithUpstream.js'
-import type { Statement } from '../types/gossip.js'
+import { MISDIRECTED, type ResponseHead } from '../requests/exchangeWithUpstream.js'
+import type { Advertisement } from '../types/gossip.js'
 import type { EventLog, GatewayMetrics } from '../types/ports.js'
 import type { PauseWatch } from './pauseWatch.js'
-import type { Said, Upstream } from '../types/upstream.js'
+import type { AdvertisedState, Upstream } from '../types/upstream.js'
 
-export interface StatementTaskOptions {
+export interface AdvertisementTaskOptions {
   clock: Clock
   log: EventLog
   metrics: GatewayMetrics
@@ -27,11 +27,11 @@
   all(): Iterable<Upstream>
   pauses: Pick<PauseWatch, 'hasPausedSince'>
   /** Broadcasts to the other boxes. */
-  tell(entries: readonly Statement[]): void
+  broadcast(entries: readonly Advertisement[]): void
 }
 
-/** Where a statement came from: an upstream's answer or another box. */
-type StatementSource = 'answer' | 'news'
+/** Where an advertisement came from: an upstream's answer or another box. */
+type AdvertisementSource = 'answer' | 'news'
 
 const SECOND: Milliseconds = 1_000
 const LIMITED_COUNT_LIFETIME: Milliseconds = 200
@@ -43,39 +43,44 @@
  * to a run, not to a request: it outlives the answered request and the list entry, and may arrive
  * before the entry. Limits and leaving are shared with all boxes, back-off is local.
  */
-export class StatementTask {
-  readonly #said = new Map<string, Said>()
+export class AdvertisementTask {
+  readonly #states = new Map<string, AdvertisedState>()
   #limited = 0
   #countedAt: Milliseconds = -Infinity
 
-  constructor(private readonly options: StatementTaskOptions) {}
+  constructor(private readonly options: AdvertisementTaskOptions) {}
 
   /** The state of a run, created when missing. The object is live: later changes show in it. */
-  saidBy(run: string): Said {
-    const known = this.#said.get(run)
+  stateOf(run: string): AdvertisedState {
+    const known = this.#states.get(run)
     if (known) return known
-    if (this.#said.size >= MAX_RUNS) this.#dropUnlisted()
-    const said: Said = { isLeaving: false, restUntil: NO_REST, sent: 0, hasUnreadable: false }
-    this.#said.set(run, said)
-    return said
+    if (this.#states.size >= MAX_RUNS) this.#dropUnlisted()
+    const advertised: AdvertisedState = {
+      isLeaving: false,
+      backOffUntil: NO_BACK_OFF,
+      sentSinceLog: 0,
+      hasLoggedMalformed: false,
+    }
+    this.#states.set(run, advertised)
+    return advertised
   }
 
   /** Records the headers of an answer to a request sent at `sentAt`. */
-  take(upstream: Upstream, head: AnswerHead, sentAt: Milliseconds): void {
+  recordAnswer(upstream: Upstream, head: ResponseHead, sentAt: Milliseconds): void {
     const { status, fields } = head
-    const { run, said } = upstream
-    if (fields.unreadable) this.#recordUnreadable(run, fields.unreadable)
+    const { run, advertised } = upstream
+    if (fields.malformedHeaders) this.#recordUnreadable(run, fields.malformedHeaders)
     if (!isFromRun(head, upstream)) return
-    if (fields.limit !== undefined || said.limit) this.#recordLimit(run, head, sentAt)
+    if (fields.limit !== undefined || advertised.limit) this.#recordLimit(run, head, sentAt)
     if (fields.isLeaving && this.#recordLeaving(run, 'answer'))
-      this.options.tell([{ run, isLeaving: true }])
-    if (!TURNS_AWAY.has(status)) this.#clearExpiredBackOff(said)
+      this.options.broadcast([{ run, isLeaving: true }])
+    if (!BACK_PRESSURE_STATUSES.has(status)) this.#clearExpiredBackOff(advertised)
     else if (fields.retryAfter !== undefined)
-      this.#startBackOff(run, said, fields.retryAfter * SECOND)
+      this.#startBackOff(run, advertised, fields.retryAfter * SECOND)
   }
 
-  /** Merges statements from other boxes. Returns those that changed something. */
-  hear(entries: readonly Statement[]): Statement[] {
+  /** Merges advertisements from other boxes. Returns those that changed something. */
+  merge(entries: readonly Advertisement[]): Advertisement[] {
     return entries.filter(({ run, limit, isLeaving }) => {
       const hasNewLeaving = isLeaving === true && this.#recordLeaving(run, 'news')
       const hasNewLimit = limit !== undefined && this.#mergeLimit(run, limit)
@@ -84,111 +89,121 @@
   }
 
   /** Number of listed upstreams that advertise a limit, cached briefly. */
-  get limited(): number {
+  get limitedCount(): number {
     const now = this.options.clock.now()
     if (now - this.#countedAt < LIMITED_COUNT_LIFETIME) return this.#limited
     this.#countedAt = now
     this.#limited = 0
-    for (const { said } of this.options.all())
-      if (said.limit?.perSecond !== undefined) this.#limited++
+    for (const { advertised } of this.options.all())
+      if (advertised.limit?.perSecond !== undefined) this.#limited++
     return this.#limited
   }
 
-  /** All statements of listed upstreams, for a box that connects. */
-  current(): Statement[] {
-    const entries: Statement[] = []
-    for (const { run, said } of this.options.all()) {
-      const { limit, isLeaving } = said
+  /** All advertisements of listed upstreams, for a box that connects. */
+  current(): Advertisement[] {
+    const entries: Advertisement[] = []
+    for (const { run, advertised } of this.options.all()) {
+      const { limit, isLeaving } = advertised
       if (limit) entries.push({ run, limit: toSharedLimit(limit) })
       if (isLeaving) entries.push({ run, isLeaving })
     }
     return entries
   }
 
-  #recordLimit(run: string, { fields }: AnswerHead, sentAt: Milliseconds): void {
-    const { clock, pauses, tell } = this.options
+  #recordLimit(run: string, { fields }: ResponseHead, sentAt: Milliseconds): void {
+    const { clock, pauses, broadcast } = this.options
     const now = clock.now()
-    const said = this.saidBy(run)
-    const limit = (said.limit ??= createStatedLimit(now))
+    const advertised = this.stateOf(run)
+    const limit = (advertised.limit ??= createAdvertisedLimit(now))
     const isLooser = (fields.limit ?? Infinity) > (limit.perSecond ?? Infinity)
     // After a pause of this process the answer may be older than the limit the other boxes know.
     if (isLooser && pauses.hasPausedSince(sentAt)) return
-    // An unreadable limit is still a limit: keep the known one.
-    if (fields.limit === undefined && fields.unreadable) return
-    const isUpdate = noteStatedLimit(limit, fields.limit, this.limited, now)
-    this.#logLimit(run, said, limit, 'answer')
-    if (isUpdate) tell([{ run, limit: toSharedLimit(limit) }])
+    // A malformed limit is still a limit: keep the known one.
+    if (fields.limit === undefined && fields.malformedHeaders) return
+    const isUpdate = recordAdvertisedLimit(limit, fields.limit, this.limitedCount, now)
+    this.#logLimit(run, advertised, limit, 'answer')
+    if (isUpdate) broadcast([{ run, limit: toSharedLimit(limit) }])
   }
 
   #mergeLimit(run: string, received: SharedLimit): boolean {
     const now = this.options.clock.now()
-    const said = this.saidBy(run)
-    const limit = (said.limit ??= createStatedLimit(now))
-    if (!takeSharedLimit(limit, received, now)) return false
-    this.#logLimit(run, said, limit, 'news')
+    const advertised = this.stateOf(run)
+    const limit = (advertised.limit ??= createAdvertisedLimit(now))
+    if (!mergeSharedLimit(limit, received, now)) return false
+    this.#logLimit(run, advertised, limit, 'news')
     return true
   }
 
   /** Logs each change of the effective limit. */
-  #logLimit(run: string, said: Said, limit: StatedLimit, through: StatementSource): void {
-    const before = said.loggedLimit
-    const perSecond = limitNow(limit, this.options.clock.now())
+  #logLimit(
+    run: string,
+    advertised: AdvertisedState,
+    limit: AdvertisedLimit,
+    through: AdvertisementSource,
+  ): void {
+    const before = advertised.loggedLimit
+    const perSecond = currentLimit(limit, this.options.clock.now())
     if (perSecond === before) return
-    if (perSecond === undefined) delete said.loggedLimit
-    else said.loggedLimit = perSecond
+    if (perSecond === undefined) delete advertised.loggedLimit
+    else advertised.loggedLimit = perSecond
     const { version, turn } = limit
-    this.#logStatement('limit', run, { limit: perSecond, before, through, version, turn })
+    this.#logAdvertisement('limit', run, { limit: perSecond, before, through, version, turn })
   }
 
   /**
    * Marks a run as leaving. This overrides its list entry and is final: only a new run accepts
    * requests again.
    */
-  #recordLeaving(run: string, through: StatementSource): boolean {
-    const said = this.saidBy(run)
-    if (said.isLeaving) return false
-    said.isLeaving = true
+  #recordLeaving(run: string, through: AdvertisementSource): boolean {
+    const advertised = this.stateOf(run)
+    if (advertised.isLeaving) return false
+    advertised.isLeaving = true
     const upstream = this.options.find(run)
-    upstream?.channels.retire()
-    this.#logStatement('leaving', run, { state: upstream?.listed.state, through })
+    upstream?.connectionPool.retire()
+    this.#logAdvertisement('leaving', run, { state: upstream?.listed.state, through })
     return true
   }
 
   /**
    * Starts a back-off of `span` for all requests of this box, not only the one that was rejected.
    */
-  #startBackOff(run: string, said: Said, span: Milliseconds): void {
+  #startBackOff(run: string, advertised: AdvertisedState, span: Milliseconds): void {
     const now = this.options.clock.now()
-    const isBackingOff = now < said.restUntil
-    said.restUntil = restUntil(said.restUntil, span, now)
-    if (!isBackingOff) this.#logStatement('rest', run, { span })
+    const isBackingOff = now < advertised.backOffUntil
+    advertised.backOffUntil = extendBackOff(advertised.backOffUntil, span, now)
+    if (!isBackingOff) this.#logAdvertisement('rest', run, { span })
   }
 
   /**
    * Clears an expired back-off. Until it expires, answers may belong to requests sent before it.
    */
-  #clearExpiredBackOff(said: Said): void {
-    if (this.options.clock.now() >= said.restUntil) said.restUntil = NO_REST
+  #clearExpiredBackOff(advertised: AdvertisedState): void {
+    if (this.options.clock.now() >= advertised.backOffUntil) advertised.backOffUntil = NO_BACK_OFF
   }
 
   #recordUnreadable(run: string, unreadable: readonly string[]): void {
-    const said = this.saidBy(run)
-    if (said.hasUnreadable) return
-    said.hasUnreadable = true
-    this.#logStatement('unreadable', run, { unreadable })
+    const advertised = this.stateOf(run)
+    if (advertised.hasLoggedMalformed) return
+    advertised.hasLoggedMalformed = true
+    this.#logAdvertisement('unreadable', run, { unreadable })
   }
 
-  #logStatement(kind: string, run: string, fields: object): void {
+  #logAdvertisement(kind: string, run: string, fields: object): void {
     const { log, metrics, find } = this.options
-    const said = this.saidBy(run)
+    const advertised = this.stateOf(run)
     const service = find(run)?.listed.service
     metrics.count('statements', kind)
-    log.note(`upstream-${kind}`, { upstream: run, service, ...fields, sent: said.sent })
-    said.sent = 0
+    log.event(`upstream-${kind}`, {
+      upstream: run,
+      service,
+      ...fields,
+      sent: advertised.sentSinceLog,
+    })
+    advertised.sentSinceLog = 0
   }
 
   #dropUnlisted(): void {
-    for (const run of this.#said.keys()) if (!this.options.find(run)) this.#said.delete(run)
+    for (const run of this.#states.keys()) if (!this.options.find(run)) this.#states.delete(run)
   }
 }
 
@@ -196,12 +211,12 @@
  * Whether the answer comes from the listed run: not from another process at its address, and not
  * from an unidentified sender.
  */
-function isFromRun({ status, fields }: AnswerHead, { listed }: Upstream): boolean {
+function isFromRun({ status, fields }: ResponseHead, { listed }: Upstream): boolean {
   if (fields.answeredBy !== undefined) return fields.answeredBy === listed.id
   if (status === MISDIRECTED) return false
   return fields.isSigned || (fields.isNotRun && fields.id !== undefined)
 }
 
-function toSharedLimit({ perSecond, version, turn }: StatedLimit): SharedLimit {
+function toSharedLimit({ perSecond, version, turn }: AdvertisedLimit): SharedLimit {
   return { ...(perSecond !== undefined && { perSecond }), version, turn }
 }
--- a/packages/gateway/src/tasks/storeReader.ts
+++ b/packages/gateway/src/tasks/storeReader.ts
@@ -1,6 +1,6 @@
 import type { Clock, Confirmation, Milliseconds } from '@yewkeel/decisions'
 import { confirm, confirmationAge, sleep } from '@yewkeel/decisions'
-import { OPENS_WITHIN } from '../node/connectInTime.js'
+import { CONNECT_TIMEOUT } from '../node/connectInTime.js'
 import type { EventLog, GatewayMetrics, Store } from '../types/ports.js'
 import type { OperatorTask } from './operatorTask.js'
 import type { RolloutTask } from './rolloutTask.js'
@@ -52,7 +52,7 @@
  * Without confirmations a box reads this long before `newsWithin` ends: time for the check
  * interval, the read, and a request just sent that still opens its connection.
  */
-const UNCONFIRMED_READ_MARGIN: Milliseconds = CHECK_INTERVAL + READ_DURATION + OPENS_WITHIN
+const UNCONFIRMED_READ_MARGIN: Milliseconds = CHECK_INTERVAL + READ_DURATION + CONNECT_TIMEOUT
 /** Retry delay of a reader. */
 const READER_RETRY_DELAY: Milliseconds = 250
 /** Retry delay of other boxes per known box, which bounds their common call rate. */
@@ -84,9 +84,9 @@
   }
 
   /** Confirms that the list that this box holds, or takes next, was current at `provedAt`. */
-  proveList(provedAt: Milliseconds): void {
+  confirmList(provedAt: Milliseconds): void {
     confirm(this.#listConfirmation, provedAt)
-    if (!this.#isListStale) this.options.upstreams.noteReturn()
+    if (!this.#isListStale) this.options.upstreams.recordRecovery()
   }
 
   /** Whether no box can have read the list recently. False before the first confirmation. */
@@ -117,13 +117,13 @@
       try {
         pause = await step()
       } catch (error) {
-        this.#noteFailure(error)
+        this.#recordFailure(error)
         pause = this.#retryDelay()
       }
       pause = Math.max(pause, MIN_STEP_INTERVAL - (clock.now() - begunAt))
       if (pause > 0) await sleep(clock, pause)
     }
-    log.note('store-reader-stopped', {})
+    log.event('store-reader-stopped', {})
   }
 
   /** Pause after a failed call, or after a read that returned an outdated state. */
@@ -150,9 +150,9 @@
       const { revision } = operators.state
       const wait = isReader() ? Math.round(LONG_POLL_SHARE * newsWithin()) : 0
       const news = await store.awaitOperatorState(revision, wait)
-      this.#noteAnswer(news.storeNow)
+      this.#recordAnswer(news.storeNow)
       if (!news.value) {
-        operators.prove(news.version, sentAt)
+        operators.recordConfirmation(news.version, sentAt)
         // Sent at once, a confirmation reaches distant boxes before they read for themselves.
         if (isReader()) this.options.onOperatorsRead()
         return isReader() ? 0 : CHECK_INTERVAL
@@ -160,11 +160,11 @@
     }
     const readAt = clock.now()
     const read = await store.readOperatorState()
-    this.#noteAnswer(read.storeNow)
-    const isNewest = operators.take(read.value)
-    if (isNewest) operators.prove(read.value.revision, readAt)
+    this.#recordAnswer(read.storeNow)
+    const isNewest = operators.apply(read.value)
+    if (isNewest) operators.recordConfirmation(read.value.revision, readAt)
     this.options.onOperatorsRead()
-    if (read.value.orders.length > 0) rollouts.takeStatuses((await store.readRollouts()).value)
+    if (read.value.orders.length > 0) rollouts.mergeStatuses((await store.readRollouts()).value)
     if (isFirst && !operators.index) return READER_RETRY_DELAY
     return isNewest ? 0 : this.#retryDelay()
   }
@@ -172,44 +172,44 @@
   async #readUpstreams(): Promise<Milliseconds> {
     const { upstreams, clock, store, isReader, newsWithin } = this.options
     // During an outage only the loop of the operator state probes the store.
-    if (this.#isStoreOut && upstreams.version > 0) return this.#noteListOutage()
+    if (this.#isStoreOut && upstreams.version > 0) return this.#recordListOutage()
     if (!isReader() && this.listAge < newsWithin() - UNCONFIRMED_READ_MARGIN) return CHECK_INTERVAL
     const sentAt = clock.now()
     try {
       const read = await store.readUpstreams()
-      this.#noteAnswer(read.storeNow)
-      this.proveList(sentAt)
-      const isChanged = upstreams.take(read.value, read.version)
+      this.#recordAnswer(read.storeNow)
+      this.confirmList(sentAt)
+      const isChanged = upstreams.apply(read.value, read.version)
       if (isChanged) this.options.onUpstreamsRead()
     } catch (error) {
-      this.#noteListOutage()
+      this.#recordListOutage()
       throw error
     }
     return Math.max(0, LIST_READ_SHARE * newsWithin() - (clock.now() - sentAt))
   }
 
   /** Other boxes may still read the store; entries are kept only if none can. */
-  #noteListOutage(): Milliseconds {
-    if (this.#isListStale) this.options.upstreams.noteOutage(this.listAge)
+  #recordListOutage(): Milliseconds {
+    if (this.#isListStale) this.options.upstreams.recordOutage(this.listAge)
     return CHECK_INTERVAL
   }
 
-  #noteAnswer(storeNow: Milliseconds): void {
+  #recordAnswer(storeNow: Milliseconds): void {
     const { rollouts, clock, log, metrics } = this.options
     metrics.count('storeCalls', 'answered')
-    rollouts.noteStoreClock(storeNow, clock.now())
+    rollouts.updateStoreClock(storeNow, clock.now())
     if (!this.#isStoreOut) return
     this.#isStoreOut = false
-    log.note('store-back', {})
+    log.event('store-back', {})
     this.options.onStoreChange()
   }
 
-  #noteFailure(error: unknown): void {
+  #recordFailure(error: unknown): void {
     const { log, metrics } = this.options
     metrics.count('storeCalls', 'failed')
     if (this.#isStoreOut) return
     this.#isStoreOut = true
-    log.note('store-lost', { error: String(error) })
+    log.event('store-lost', { error: String(error) })
     this.options.onStoreChange()
   }
 }
--- a/packages/gateway/src/tasks/upstreamDirectory.ts
+++ b/packages/gateway/src/tasks/upstreamDirectory.ts
@@ -1,26 +1,26 @@
 import {
-  copySource,
-  createWaitingLine,
+  prefixCopySource,
+  createWaitQueue,
   createExchangeHealth,
   hashText,
   isEjected,
   keepTrialUpstreams,
-  noteGone,
-  noteReachable,
+  recordProcessReplaced,
+  recordReachable,
   pickUpstream,
-  runOf,
-  SENDS_REMEMBERED,
+  runIdOf,
+  SEND_HISTORY_LENGTH,
   type Clock,
   type ListedUpstream,
   type Milliseconds,
-  type PromptWork,
+  type PrefillWork,
   type Random,
   type VersionTrial,
-  type WaitingLine,
+  type WaitQueue,
 } from '@yewkeel/decisions'
-import type { OpenChannels } from '../node/upstreamChannels.js'
+import type { OpenConnectionPool } from '../node/upstreamChannels.js'
 import type { EventLog } from '../types/ports.js'
-import type { Said, Upstream } from '../types/upstream.js'
+import type { AdvertisedState, Upstream } from '../types/upstream.js'
 import type { BudgetSource, SendBudget } from './sendBudget.js'
 import type { CrashSuspects } from '@yewkeel/box'
 import { isolateSuspects } from './placeSuspects.js'
@@ -30,7 +30,7 @@
 /** Why an upstream receives fewer requests than its capacity allows. */
 export type RestrictionReason = BudgetSource | 'leaving'
 
-export interface PickQuery {
+export interface UpstreamQuery {
   service: string
   /** Whether the request may run on this version. */
   admits(version: string): boolean
@@ -39,15 +39,15 @@
   /** Runs that already received the request. */
   tried: readonly string[]
   /** Prefill cost of the prompt, if the request has one. */
-  prompt?: PromptWork
+  prompt?: PrefillWork
   /** Size of the request body. */
   bodyBytes: number
   /** Maximum connections from this box to one upstream. */
-  channelLimit: number
+  connectionLimit: number
   /** Consecutive upstream crashes while running the request; 0 when omitted. */
   crashes?: number
   /** Requests queued ahead of this one for a throttled upstream; 0 when omitted. */
-  ahead?: number
+  queuedAhead?: number
 }
 
 /** Age after which reported load is ignored. */
@@ -61,16 +61,16 @@
   work: EngineWork
   budget: SendBudget
   suspects: Pick<CrashSuspects, 'trialsAt'>
-  openChannels: OpenChannels
+  openConnectionPool: OpenConnectionPool
   /** The advertised state of a run. */
-  saidBy(run: string): Said
+  stateOf(run: string): AdvertisedState
   /**
    * Whether the configuration defines the service. Entries of other services are ignored, even to
    * detect a replaced address.
    */
-  namesService(service: string): boolean
+  isConfigured(service: string): boolean
   /** Whether boxes in other data centres report their pending work to this box. */
-  knowsFarWork(): boolean
+  knowsRemoteWork(): boolean
 }
 
 /** Listed upstreams and the state that this box keeps of each. */
@@ -79,14 +79,14 @@
   readonly list: UpstreamListTask
   readonly #upstreams = new Map<string, Upstream>()
   #evacuated: ReadonlySet<string> = new Set()
-  readonly #queues = new Map<string, WaitingLine>()
+  readonly #queues = new Map<string, WaitQueue>()
 
   constructor(private readonly options: UpstreamDirectoryOptions) {
-    const { clock, log, namesService } = options
+    const { clock, log, isConfigured } = options
     this.list = new UpstreamListTask({
       clock,
       log,
-      namesService,
+      isConfigured: isConfigured,
       onEntry: (entry, isFirst) => this.#upsert(entry, isFirst),
       onGone: id => this.#remove(id),
     })
@@ -104,20 +104,20 @@
   }
 
   /** Records the send time for rate limiting. */
-  noteChosen(upstream: Upstream): void {
+  recordSend(upstream: Upstream): void {
     upstream.sentAt.push(this.options.clock.now())
-    if (upstream.sentAt.length > SENDS_REMEMBERED) upstream.sentAt.shift()
+    if (upstream.sentAt.length > SEND_HISTORY_LENGTH) upstream.sentAt.shift()
   }
 
-  pick(query: PickQuery): Upstream | undefined {
+  pick(query: UpstreamQuery): Upstream | undefined {
     const { random, dataCentre, clock, work } = this.options
     const now = clock.now()
     const candidates: Upstream[] = []
     for (const upstream of this.#upstreams.values()) {
       if (!this.#isCandidate(upstream, query, now)) continue
       upstream.load = loadOf(upstream, now)
-      upstream.waiting = work.waiting(upstream.listed.id)
-      upstream.slowness = work.slowness(upstream.listed.id)
+      upstream.pendingPrefill = work.waiting(upstream.listed.id)
+      upstream.prefillSlowdown = work.slowness(upstream.listed.id)
       upstream.isEjected = isEjected(upstream.health, now)
       candidates.push(upstream)
     }
@@ -127,8 +127,14 @@
     const admitted = trial ? keepTrialUpstreams(preferred, trial) : preferred
     const usable = isolateSuspects(admitted, crashes, this.options.suspects.trialsAt())
     if (!prompt) return pickUpstream(usable, { random, dataCentre })
-    const knowsFarWork = this.options.knowsFarWork()
-    return pickUpstream(usable, { random, dataCentre, prompt, knowsFarWork, bodyBytes })
+    const knowsFarWork = this.options.knowsRemoteWork()
+    return pickUpstream(usable, {
+      random,
+      dataCentre,
+      prompt,
+      knowsRemoteWork: knowsFarWork,
+      bodyBytes,
+    })
   }
 
   /**
@@ -144,42 +150,42 @@
    * Whether some upstream may be sent the request by `until`, after those queued ahead. Assumes a
    * free connection.
    */
-  couldTake(query: PickQuery, until: Milliseconds): boolean {
+  canSendBefore(query: UpstreamQuery, until: Milliseconds): boolean {
     const { clock, budget } = this.options
     const now = clock.now()
-    const { ahead = 0 } = query
+    const { queuedAhead = 0 } = query
     let sends = 0
     for (const upstream of this.#upstreams.values()) {
       if (this.#isEligible(upstream, query)) sends += budget.allowedSends(upstream, now, until)
-      if (sends > ahead) return true
+      if (sends > queuedAhead) return true
     }
     return false
   }
 
   /** The requests of a service that wait for an upstream. */
-  lineOf(service: string): WaitingLine {
+  queueOf(service: string): WaitQueue {
     const known = this.#queues.get(service)
     if (known) return known
-    const queue = createWaitingLine()
+    const queue = createWaitQueue()
     this.#queues.set(service, queue)
     return queue
   }
 
   /** Number of restricted upstreams by reason, of one service or of all. */
-  heldBack(service?: string): Partial<Record<RestrictionReason, number>> {
+  countRestricted(service?: string): Partial<Record<RestrictionReason, number>> {
     const now = this.options.clock.now()
     const counts: Partial<Record<RestrictionReason, number>> = {}
     const add = (reason: RestrictionReason) => void (counts[reason] = (counts[reason] ?? 0) + 1)
     for (const upstream of this.#upstreams.values()) {
       if (service !== undefined && upstream.listed.service !== service) continue
-      if (upstream.said.isLeaving) add('leaving')
+      if (upstream.advertised.isLeaving) add('leaving')
       else for (const source of this.options.budget.activeSources(upstream, now)) add(source)
     }
     return counts
   }
 
   /** Whether the upstream's rate is limited, so that requests queue for it. */
-  isHeld(upstream: Upstream): boolean {
+  isRateLimited(upstream: Upstream): boolean {
     return this.options.budget.isThrottled(upstream, this.options.clock.now())
   }
 
@@ -187,13 +193,13 @@
    * Estimated time until some upstream accepts such a request from any box; 0 if one does now or
    * nothing is known.
    */
-  reopensIn(query: PickQuery): Milliseconds {
+  availableIn(query: UpstreamQuery): Milliseconds {
     const { clock, budget } = this.options
     const now = clock.now()
     let earliest = Infinity
     for (const upstream of this.#upstreams.values())
       if (this.#isEligible(upstream, query))
-        earliest = Math.min(earliest, budget.reopensIn(upstream, now))
+        earliest = Math.min(earliest, budget.availableIn(upstream, now))
     return Number.isFinite(earliest) ? earliest : 0
   }
 
@@ -201,7 +207,7 @@
    * The upstream to copy KV cache of the shared prefix from in place of prefilling it, if that
    * pays.
    */
-  copySource(prompt: PromptWork, chosen: Upstream): Upstream | undefined {
+  copySource(prompt: PrefillWork, chosen: Upstream): Upstream | undefined {
     const { service } = chosen.listed
     const { clock, budget } = this.options
     const now = clock.now()
@@ -213,14 +219,14 @@
       upstream.isEjected = isEjected(upstream.health, now)
       members.push(upstream)
     }
-    return copySource(prompt, chosen, members)
+    return prefixCopySource(prompt, chosen, members)
   }
 
   /** Estimated time to the first token; infinite without an available upstream. */
-  beginsWithin(query: PickQuery & { prompt: PromptWork }): Milliseconds {
+  beginsWithin(query: UpstreamQuery & { prompt: PrefillWork }): Milliseconds {
     const upstream = this.pick(query)
     if (!upstream) return Infinity
-    return upstream.waiting + upstream.slowness * query.prompt.whole
+    return upstream.pendingPrefill + upstream.prefillSlowdown * query.prompt.prefillTime
   }
 
   /** Number of ready upstreams by version of a service. */
@@ -257,28 +263,28 @@
     return counts
   }
 
-  noteLoad(upstream: Upstream, load: number): void {
-    upstream.told = { load, own: upstream.inFlight, at: this.options.clock.now() }
+  recordReportedLoad(upstream: Upstream, load: number): void {
+    upstream.reportedLoad = { load, own: upstream.inFlight, at: this.options.clock.now() }
   }
 
   /** Marks a run as replaced by another process at its address. Returns whether that is new. */
-  takeGone(run: string): boolean {
-    const upstream = this.ofRun(run)
-    if (!upstream || !noteGone(upstream.health)) return false
-    this.options.log.note('upstream-replaced', { upstream: run, service: upstream.listed.service })
+  markReplaced(run: string): boolean {
+    const upstream = this.findByRun(run)
+    if (!upstream || !recordProcessReplaced(upstream.health)) return false
+    this.options.log.event('upstream-replaced', { upstream: run, service: upstream.listed.service })
     return true
   }
 
   /** Marks an upstream as reachable again. */
-  noteReturned(upstream: Upstream): void {
-    noteReachable(upstream.health)
+  markReachable(upstream: Upstream): void {
+    recordReachable(upstream.health)
     this.options.budget.suspectCold(upstream)
     const { id, service } = upstream.listed
-    this.options.log.note('upstream-reachable', { upstream: id, service })
+    this.options.log.event('upstream-reachable', { upstream: id, service })
   }
 
   /** The listed upstream with this run, if any. */
-  ofRun(run: string): Upstream | undefined {
+  findByRun(run: string): Upstream | undefined {
     for (const upstream of this.#upstreams.values()) if (upstream.run === run) return upstream
     return undefined
   }
@@ -293,12 +299,14 @@
   }
 
   /** Whether the upstream accepts new requests, apart from its health and rate. */
-  #acceptsRequests({ listed, said }: Upstream): boolean {
-    return !said.isLeaving && listed.state === 'ready' && !this.#evacuated.has(listed.dataCentre)
+  #acceptsRequests({ listed, advertised }: Upstream): boolean {
+    return (
+      !advertised.isLeaving && listed.state === 'ready' && !this.#evacuated.has(listed.dataCentre)
+    )
   }
 
   /** Whether the upstream may serve the request, apart from connections and rate. */
-  #isEligible(upstream: Upstream, query: PickQuery): boolean {
+  #isEligible(upstream: Upstream, query: UpstreamQuery): boolean {
     const { listed, health } = upstream
     return (
       listed.service === query.service &&
@@ -309,41 +317,41 @@
     )
   }
 
-  #isCandidate(upstream: Upstream, query: PickQuery, now: Milliseconds): boolean {
-    const { channels } = upstream
+  #isCandidate(upstream: Upstream, query: UpstreamQuery, now: Milliseconds): boolean {
+    const { connectionPool } = upstream
     const { budget } = this.options
-    const hasChannel = channels.idle > 0 || channels.open < query.channelLimit
+    const hasChannel = connectionPool.idle > 0 || connectionPool.open < query.connectionLimit
     if (!hasChannel || !this.#isEligible(upstream, query)) return false
-    return query.ahead ? !budget.isThrottled(upstream, now) : budget.admits(upstream, now)
+    return query.queuedAhead ? !budget.isThrottled(upstream, now) : budget.admits(upstream, now)
   }
 
   #upsert(entry: ListedUpstream, isFirst: boolean): void {
     const now = this.options.clock.now()
     const known = this.#upstreams.get(entry.id)
     if (!known) {
-      const channels = this.options.openChannels(entry.address)
+      const channels = this.options.openConnectionPool(entry.address)
       const health = createExchangeHealth(now)
       this.#upstreams.set(entry.id, {
         listed: entry,
-        run: runOf(entry),
+        run: runIdOf(entry),
         nameHash: hashText(entry.id),
-        channels,
+        connectionPool: channels,
         health,
         inFlight: 0,
         load: 0,
-        waiting: 0,
-        slowness: 1,
+        pendingPrefill: 0,
+        prefillSlowdown: 1,
         isEjected: false,
         coldUntil: now + (entry.coldFor ?? 0),
-        said: this.options.saidBy(runOf(entry)),
+        advertised: this.options.stateOf(runIdOf(entry)),
         sentAt: [],
       })
-      if (!isFirst) this.options.log.note('upstream-listed', { upstream: entry })
+      if (!isFirst) this.options.log.event('upstream-listed', { upstream: entry })
       return
     }
     if (known.listed.state !== entry.state) {
-      this.options.log.note('upstream-state', { upstream: entry.id, state: entry.state })
-      if (entry.state === 'draining') known.channels.retire()
+      this.options.log.event('upstream-state', { upstream: entry.id, state: entry.state })
+      if (entry.state === 'draining') known.connectionPool.retire()
     }
     if (entry.revision > known.listed.revision && entry.coldFor !== undefined)
       known.coldUntil = Math.max(known.coldUntil, now + entry.coldFor)
@@ -353,14 +361,14 @@
   #remove(id: string): void {
     const known = this.#upstreams.get(id)
     if (!known) return
-    known.channels.retire()
+    known.connectionPool.retire()
     this.options.work.forget(id)
     this.#upstreams.delete(id)
-    this.options.log.note('upstream-gone', { upstream: id, service: known.listed.service })
+    this.options.log.event('upstream-gone', { upstream: id, service: known.listed.service })
   }
 }
 
-function loadOf({ inFlight, told }: Upstream, now: Milliseconds): number {
-  if (!told || now - told.at > REPORTED_LOAD_LIFETIME) return inFlight
-  return inFlight + Math.max(0, told.load - told.own)
+function loadOf({ inFlight, reportedLoad }: Upstream, now: Milliseconds): number {
+  if (!reportedLoad || now - reportedLoad.at > REPORTED_LOAD_LIFETIME) return inFlight
+  return inFlight + Math.max(0, reportedLoad.load - reportedLoad.own)
 }
--- a/packages/gateway/src/tasks/upstreamListTask.ts
+++ b/packages/gateway/src/tasks/upstreamListTask.ts
@@ -2,11 +2,11 @@
   createUpstreamListState,
   dropMissing,
   hashText,
-  noteListOutage,
-  noteListReturn,
+  recordListOutage,
+  recordListRecovery,
   returnGraceEnd,
-  runOf,
-  takeUpstreamList,
+  runIdOf,
+  applyUpstreamList,
   type Clock,
   type ListedUpstream,
   type Milliseconds,
@@ -21,7 +21,7 @@
    * Whether the configuration defines the service. Entries of other services are ignored, even to
    * detect a replaced address.
    */
-  namesService(service: string): boolean
+  isConfigured(service: string): boolean
   /**
    * Called with each accepted entry, new or known, on every list. `isFirst`: it is from the first
    * list.
@@ -63,20 +63,20 @@
   }
 
   /** Confirms the list at a later version of the store. */
-  sameAt(version: number): void {
+  confirmVersion(version: number): void {
     this.#version = Math.max(this.#version, version)
   }
 
   /** Records a store outage: no box can have read the list for `age`. */
-  noteOutage(age: Milliseconds): void {
-    if (!this.#state.isStoreOut) this.options.log.note('list-lost', { age: Math.round(age) })
-    noteListOutage(this.#state)
+  recordOutage(age: Milliseconds): void {
+    if (!this.#state.isStoreOut) this.options.log.event('list-lost', { age: Math.round(age) })
+    recordListOutage(this.#state)
   }
 
   /** Records that the list was confirmed, which ends an outage. */
-  noteReturn(): void {
-    if (this.#state.isStoreOut) this.options.log.note('list-back', { version: this.#version })
-    noteListReturn(this.#state, this.options.clock.now())
+  recordRecovery(): void {
+    if (this.#state.isStoreOut) this.options.log.event('list-back', { version: this.#version })
+    recordListRecovery(this.#state, this.options.clock.now())
     this.#scheduleGraceEnd()
   }
 
@@ -84,7 +84,7 @@
    * Replaces the list unless `version` is older. Returns whether its content differs from the last
    * one.
    */
-  take(listed: readonly ListedUpstream[], version: number): boolean {
+  apply(listed: readonly ListedUpstream[], version: number): boolean {
     if (version < this.#version) return false
     const isFirst = this.#version === 0
     this.#version = version
@@ -97,14 +97,14 @@
   }
 
   /** Applies the list again after a change of the configured services. */
-  reconsider(): void {
+  reapply(): void {
     if (this.#version > 0) this.#applyList(false)
   }
 
   #applyList(isFirst: boolean): void {
-    const { clock, namesService, onEntry, onGone } = this.options
-    const named = this.#listed.filter(({ service }) => namesService(service))
-    takeUpstreamList(this.#state, named, clock.now()).forEach(onGone)
+    const { clock, isConfigured, onEntry, onGone } = this.options
+    const named = this.#listed.filter(({ service }) => isConfigured(service))
+    applyUpstreamList(this.#state, named, clock.now()).forEach(onGone)
     this.#scheduleGraceEnd()
     for (const entry of this.#state.entries.values()) onEntry(entry, isFirst)
   }
@@ -130,14 +130,14 @@
     const upstreams = this.#listed.map(({ id, service, version, address, state }) =>
       [id, service, version, address, state].join(' '),
     )
-    this.options.log.note('upstreams-listed', { version: this.#version, upstreams })
+    this.options.log.event('upstreams-listed', { version: this.#version, upstreams })
   }
 }
 
 function fingerprintOf(entries: readonly ListedUpstream[]): number {
   const parts = entries.map(entry => {
     const warmth = entry.coldFor === undefined ? 'warm' : 'cold'
-    return [runOf(entry), entry.state, entry.address, warmth].join(' ')
+    return [runIdOf(entry), entry.state, entry.address, warmth].join(' ')
   })
   return hashText(parts.sort().join('\n'))
 }
--- a/packages/gateway/src/tasks/upstreamOutcomes.ts
+++ b/packages/gateway/src/tasks/upstreamOutcomes.ts
@@ -1,5 +1,5 @@
 import {
-  noteExchange,
+  recordExchange,
   type Clock,
   type ExchangeOutcome,
   type Milliseconds,
@@ -19,26 +19,26 @@
   onGone(upstream: Upstream): void
 }
 
-/** If no other upstream was heard within this time, the box itself may be partitioned. */
+/** If no other upstream responded within this time, the box itself may be partitioned. */
 const OTHERS_HEARD_WITHIN: Milliseconds = 1_000
 
 /** Outlier ejection: ejects upstreams whose exchanges fail more often than those of the others. */
 export class UpstreamOutcomes {
   constructor(private readonly options: UpstreamOutcomesOptions) {}
 
-  note(upstream: Upstream, reported: ExchangeOutcome): void {
+  record(upstream: Upstream, reported: ExchangeOutcome): void {
     const { clock, log, metrics, onUnreachable, onGone } = this.options
     const outcome =
       reported === 'unreachable' && !this.#hasHeardOthers(upstream) ? 'lost' : reported
     metrics.count('exchanges', outcome)
     const others = this.#othersBadShare(upstream)
-    if (!noteExchange(upstream.health, outcome, others, clock.now())) return
+    if (!recordExchange(upstream.health, outcome, others, clock.now())) return
     if (outcome === 'unreachable') onUnreachable(upstream)
     if (outcome === 'gone') onGone(upstream)
     metrics.count('ejections', upstream.listed.service)
     const { id, service, address } = upstream.listed
     const { badShare, samples, ejections } = upstream.health
-    log.note('upstream-ejected', {
+    log.event('upstream-ejected', {
       upstream: id,
       service,
       address,
--- a/packages/gateway/src/tasks/versionJudge.ts
+++ b/packages/gateway/src/tasks/versionJudge.ts
@@ -1,17 +1,17 @@
 import {
   createEvidenceLedger,
-  createRecentTimes,
-  findVersionDoubt,
+  createRecentDurations,
+  findProbableFault,
   findVersionFault,
   isSlow,
-  noteTime,
+  recordDuration,
   sumEvidence,
-  takeAnswerCounts,
+  recordAnswerCounts,
   type AnswerAspect,
   type AnswerCount,
   type EvidenceLedger,
   type Milliseconds,
-  type RecentTimes,
+  type RecentDurations,
   type SlowLimit,
   type VersionFault,
 } from '@yewkeel/decisions'
@@ -30,12 +30,12 @@
 export type TimedAspect = Exclude<AnswerAspect, 'outcome'>
 
 /**
- * An answer is slow if it exceeds `times` times the `part` quantile of recent answers of other
+ * An answer is slow if it exceeds `factor` times the `quantile` of recent answers of other
  * versions.
  */
 const SLOW_LIMITS: Record<TimedAspect, SlowLimit> = {
-  start: { part: 0.75, times: 1.1 },
-  pace: { part: 0.5, times: 1 },
+  start: { quantile: 0.75, factor: 1.1 },
+  pace: { quantile: 0.5, factor: 1 },
 }
 
 /** Answer counts reported by one box. */
@@ -55,10 +55,10 @@
  * Counts good and bad answers by version on this box, and judges versions by the counts of all
  * boxes.
  */
-export class VersionJudge {
+export class VersionEvaluator {
   readonly #counts = new Map<string, AnswerCount>()
   readonly #ledgers = new Map<string, EvidenceLedger>()
-  readonly #recent = new Map<string, RecentTimes>()
+  readonly #recent = new Map<string, RecentDurations>()
 
   constructor(private readonly options: VersionJudgeOptions) {}
 
@@ -74,28 +74,28 @@
       if (count.service === service) this.#counts.delete(name)
   }
 
-  noteOutcome(key: AnswerKey, isGood: boolean): void {
+  recordOutcome(key: AnswerKey, isGood: boolean): void {
     this.#count(key, 'outcome', isGood)
   }
 
   /** Records the time of an answer in one aspect and counts it as good or bad. */
-  noteTime(key: AnswerKey, aspect: TimedAspect, sample: number): void {
+  recordDuration(key: AnswerKey, aspect: TimedAspect, sample: number): void {
     const recent = this.#recentOf(key, aspect)
     const slow = isSlow(recent, sample, SLOW_LIMITS[aspect])
-    if (!this.options.isOnTrial(key.service, key.version)) noteTime(recent, sample)
+    if (!this.options.isOnTrial(key.service, key.version)) recordDuration(recent, sample)
     if (slow !== undefined) this.#count(key, aspect, !slow)
   }
 
   /** Counts an unfinished answer as bad if it was already slow; otherwise ignores it. */
-  noteUnfinished(key: AnswerKey, aspect: TimedAspect, sampleSoFar: number): void {
+  recordUnfinished(key: AnswerKey, aspect: TimedAspect, sampleSoFar: number): void {
     const recent = this.#recentOf(key, aspect)
     if (isSlow(recent, sampleSoFar, SLOW_LIMITS[aspect])) this.#count(key, aspect, false)
   }
 
-  #recentOf({ service, route, model }: AnswerKey, aspect: TimedAspect): RecentTimes {
+  #recentOf({ service, route, model }: AnswerKey, aspect: TimedAspect): RecentDurations {
     // Baselines are by model where there is one, otherwise by route.
     const name = `${service} ${aspect} ${model === '' ? route : model}`
-    const recent = this.#recent.get(name) ?? createRecentTimes()
+    const recent = this.#recent.get(name) ?? createRecentDurations()
     this.#recent.set(name, recent)
     return recent
   }
@@ -128,7 +128,7 @@
    */
   findDoubt(service: string, version: string, upstreams: number): VersionFault | undefined {
     const ledger = this.#ledgers.get(service)
-    return ledger && findVersionDoubt(ledger, version, upstreams)
+    return ledger && findProbableFault(ledger, version, upstreams)
   }
 
   /** Summarises the evidence on a version by aspect, for the log. */
@@ -146,7 +146,7 @@
    * Merges the reports of all boxes and returns why the version is bad; undefined if not shown, or
    * if no report is new. `upstreams`: number of upstreams that serve it.
    */
-  judge(
+  evaluate(
     service: string,
     version: string,
     upstreams: number,
@@ -158,7 +158,7 @@
     let hasNews = false
     for (const { box, counts } of reports) {
       const serviceCounts = counts.filter(count => count.service === service)
-      if (takeAnswerCounts(ledger, box, serviceCounts, now)) hasNews = true
+      if (recordAnswerCounts(ledger, box, serviceCounts, now)) hasNews = true
     }
     return hasNews ? findVersionFault(ledger, version, upstreams) : undefined
   }
--- a/packages/gateway/src/types/gossip.ts
+++ b/packages/gateway/src/types/gossip.ts
@@ -8,7 +8,7 @@
 } from '@yewkeel/decisions'
 import type { Verdict } from '../tasks/rolloutTask.js'
 import type { BoxEntry, OperatorState } from './ports.js'
-import type { SuspectNews } from '@yewkeel/box'
+import type { SuspectUpdate } from '@yewkeel/box'
 
 /** Gossip encodes a state by its index, so that the order is part of the protocol between boxes. */
 export const GATEWAY_STATES = ['starting', 'serving', 'leaving'] as const
@@ -61,8 +61,8 @@
 }
 
 /** A rate limit or drain notice that an upstream sent in a response to any box. */
-export interface Statement {
-  /** Run of the upstream. The statement expires with it. */
+export interface Advertisement {
+  /** Run of the upstream. The advertisement expires with it. */
   run: string
   limit?: SharedLimit
   /** The upstream is draining; irrevocable for the run. */
@@ -84,15 +84,15 @@
   /** Runs of upstreams that have ended: other processes now respond at their addresses. */
   | { type: 'upstreams-gone'; runs: string[] }
   | UpstreamsMessage
-  /** Statements of upstreams: sent on request after a connection, and immediately when new. */
+  /** Advertisements of upstreams: sent on request after a connection, and immediately when new. */
   | { type: 'statements-wanted' }
-  | { type: 'statements'; entries: Statement[] }
+  | { type: 'statements'; entries: Advertisement[] }
   /** Requests all that the receiver knows of crash suspects. */
   | { type: 'suspects-wanted' }
   /**
    * `isComplete`: contains all requests quarantined so far. Only in replies to `suspects-wanted`.
    */
-  | { type: 'suspects'; entries: SuspectNews[]; isComplete?: boolean }
+  | { type: 'suspects'; entries: SuspectUpdate[]; isComplete?: boolean }
 
 /** The list of upstreams; the reply to `upstreams-wanted`. */
 export interface UpstreamsMessage {
--- a/packages/gateway/src/types/ports.ts
+++ b/packages/gateway/src/types/ports.ts
@@ -5,9 +5,9 @@
   RolloutOrder,
   RolloutStatus,
 } from '@yewkeel/decisions'
-import type { CondemnedEntry } from '@yewkeel/box'
+import type { QuarantineEntry } from '@yewkeel/box'
 
-export type { CondemnedEntry }
+export type { QuarantineEntry }
 
 /** Everything that operators have written to the store. */
 export interface OperatorState {
@@ -67,10 +67,10 @@
   readBoxes(): Promise<readonly BoxEntry[]>
   writeBox(entry: BoxEntry): Promise<void>
   removeBoxes(boxes: readonly string[]): Promise<void>
-  readCondemned(): Promise<readonly CondemnedEntry[]>
-  writeCondemned(entry: CondemnedEntry): Promise<void>
+  readQuarantined(): Promise<readonly QuarantineEntry[]>
+  writeQuarantined(entry: QuarantineEntry): Promise<void>
   /** Removes quarantined requests by their digests. */
-  removeCondemned(requests: readonly string[]): Promise<void>
+  removeQuarantined(requests: readonly string[]): Promise<void>
 }
 
 /** A part of a prompt. Requests with the same leading parts can share an engine's prefix cache. */
@@ -111,7 +111,7 @@
 }
 
 /** Fields parsed from the headers of an upstream's response. */
-export interface AnswerFields {
+export interface ResponseFields {
   /** Id of the attempt that it belongs to. */
   id?: string
   /** It carries the proof that an upstream produced the response. */
@@ -138,7 +138,7 @@
   /** The upstream announces that it is draining. */
   isLeaving?: boolean
   /** Malformed headers of the upstream, `name: text`. */
-  unreadable?: readonly string[]
+  malformedHeaders?: readonly string[]
   /** The run that produced the response, if it identifies itself. */
   answeredBy?: string
 }
@@ -151,11 +151,11 @@
   readRequest(headers: RawHeaders): RequestFields
   /** Returns the caller's headers without hop-by-hop ones, with those that the box sets replaced. */
   writeRequest(headers: RawHeaders, fields: OutgoingFields): string[]
-  readAnswer(headers: RawHeaders): AnswerFields
+  readResponse(headers: RawHeaders): ResponseFields
   /** Returns the headers of an upstream's response that are forwarded to the caller. */
-  writeAnswer(headers: RawHeaders): string[]
+  writeResponse(headers: RawHeaders): string[]
   /** Returns the headers of a response that the box produces itself. */
-  writeRefusal(id: string, retryAfter: Milliseconds | undefined): string[]
+  writeRejection(id: string, retryAfter: Milliseconds | undefined): string[]
 }
 
 /** A caller's request with its complete body. */
@@ -170,7 +170,7 @@
 }
 
 /** Writes the response to a caller. */
-export interface CallerAnswer {
+export interface CallerResponse {
   /**
    * `isFramed`: the framing marks the end of the body. Otherwise the connection closes at its end.
    */
@@ -180,7 +180,7 @@
   /** Closes the connection, so that the response is seen as incomplete. */
   abort(): void
   /** Calls back once if the caller disconnects before the end. */
-  onGone(callback: () => void): void
+  onDisconnect(callback: () => void): void
 }
 
 /**
@@ -188,7 +188,7 @@
  */
 export interface EventLog {
   /** Logs a change of state or a failure. */
-  note(event: string, fields: object): void
+  event(name: string, fields: object): void
   /** Logs the end of a request. */
   request(fields: object, isFailure: boolean): void
 }
--- a/packages/gateway/src/types/services.ts
+++ b/packages/gateway/src/types/services.ts
@@ -7,7 +7,7 @@
 import type { RolloutTask } from '../tasks/rolloutTask.js'
 import type { UpstreamDirectory } from '../tasks/upstreamDirectory.js'
 import type { UpstreamOutcomes } from '../tasks/upstreamOutcomes.js'
-import type { StatementTask } from '../tasks/statementTask.js'
+import type { AdvertisementTask } from '../tasks/statementTask.js'
 import type { StallWatch } from '../requests/stallWatch.js'
 import type { Dialect, EventLog, GatewayMetrics } from './ports.js'
 import type { GatewaySettings } from './settings.js'
@@ -25,24 +25,24 @@
   outcomes: UpstreamOutcomes
   rollouts: RolloutTask
   work: EngineWork
-  retries: RetryShares
+  retryShares: RetryShares
   /**
    * Estimated gain in confidence from model to model, from requests that several models answered.
    */
-  gains: ConfidenceGains
+  confidenceGains: ConfidenceGains
   stalls: StallWatch
   reachability: ReachabilityWatch
   /** Requests that were in flight when an upstream crashed. */
   suspects: CrashSuspects
   pauses: PauseWatch
-  statements: StatementTask
+  advertisements: AdvertisementTask
   /** Number of live boxes, including this one. */
   boxCount(): number
   /**
    * Number of boxes that share the budgets. Infinite until the entries have been read, so that
    * boxes that start during a store outage do not each take a whole budget.
    */
-  sharingBoxes(): number
+  budgetBoxCount(): number
   /** Limit on connections from this box to one upstream of a service. */
-  channelLimit(service: string): number
+  connectionLimit(service: string): number
 }
--- a/packages/gateway/src/types/upstream.ts
+++ b/packages/gateway/src/types/upstream.ts
@@ -1,41 +1,41 @@
 import type {
   ExchangeHealth,
   Milliseconds,
-  StatedLimit,
+  AdvertisedLimit,
   UpstreamCandidate,
 } from '@yewkeel/decisions'
-import type { Channels } from '../node/upstreamChannels.js'
+import type { ConnectionPool } from '../node/upstreamChannels.js'
 
 /** An upstream that requests can be sent to. */
 export interface Upstream extends UpstreamCandidate {
   /** Id of the run, precomputed since selection reads it for every candidate. */
   run: string
-  channels: Channels
+  connectionPool: ConnectionPool
   health: ExchangeHealth
   /** Exchanges of this box in flight. */
   inFlight: number
   /** The load that the upstream last reported, and this box's exchanges in flight at the time. */
-  told?: { load: number; own: number; at: Milliseconds }
+  reportedLoad?: { load: number; own: number; at: Milliseconds }
   /** It counts as cold until then. */
   coldUntil: Milliseconds
   /** Rate limit, drain and back-off state of its run. */
-  said: Said
+  advertised: AdvertisedState
   /** Times of recent requests of this box to it, newest last. */
   sentAt: Milliseconds[]
 }
 
-/** What one run of an upstream has stated in its responses to this box or to others. */
-export interface Said {
-  /** Set once it has stated a rate limit. */
-  limit?: StatedLimit
+/** What one run of an upstream has advertised in its responses to this box or to others. */
+export interface AdvertisedState {
+  /** Set once it has advertised a rate limit. */
+  limit?: AdvertisedLimit
   /** It is draining, whatever its entry says: the entry cannot change during a store outage. */
   isLeaving: boolean
   /** End of the back-off that it requested from this box with `Retry-After`. */
-  restUntil: Milliseconds
+  backOffUntil: Milliseconds
   /** The limit that was last logged. */
   loggedLimit?: number
   /** Requests sent by this box since the last log line about it. */
-  sent: number
+  sentSinceLog: number
   /** Malformed headers of the run have been logged. */
-  hasUnreadable: boolean
+  hasLoggedMalformed: boolean
 }
--- a/packages/gateway/test/badVersion.test.ts
+++ b/packages/gateway/test/badVersion.test.ts
@@ -57,7 +57,7 @@
     {
       at: 2_000,
       inject: ({ fleet }: RolloutSimulation) =>
-        fleet.boxes.forEach((box, number) => (box.isTurnedAway = number % 2 === 0)),
+        fleet.boxes.forEach((box, number) => (box.isStoreUnavailable = number % 2 === 0)),
     },
   ],
   'a third of the engines are four times slower': [
--- a/packages/gateway/test/fleet.test.ts
+++ b/packages/gateway/test/fleet.test.ts
@@ -40,9 +40,9 @@
 function spendRetries({ boxes, clock }: Fleet): number {
   let spent = 0
   for (const { gateway } of boxes) {
-    const { retries, sharingBoxes } = gateway.services
-    const share = retryShareOf(retries, 'pool')
-    while (takeRetry(share, sharingBoxes(), clock.now())) spent++
+    const { retryShares, budgetBoxCount } = gateway.services
+    const share = retryShareOf(retryShares, 'pool')
+    while (takeRetry(share, budgetBoxCount(), clock.now())) spent++
   }
   return spent
 }
@@ -84,7 +84,7 @@
 
   it('reads through other boxes when the store rejects the readers', async () => {
     fleet = await startFleet(30)
-    for (const box of fleet.boxes.slice(0, 10)) box.isTurnedAway = true
+    for (const box of fleet.boxes.slice(0, 10)) box.isStoreUnavailable = true
     let worst = 0
     const before = fleet.store.calls
     for (let step = 0; step < 40; step++) {
@@ -100,11 +100,11 @@
     fleet.store.upstreams = ['u1', 'u2'].map(createUpstream)
     fleet.add(30)
     await fleet.clock.advance(6_000)
-    for (const box of fleet.boxes.slice(3, 12)) box.isTurnedAway = true
+    for (const box of fleet.boxes.slice(3, 12)) box.isStoreUnavailable = true
     fleet.store.isOut = true
     await fleet.clock.advance(4_000)
     fleet.store.isOut = false
-    for (const box of fleet.boxes) box.isTurnedAway = false
+    for (const box of fleet.boxes) box.isStoreUnavailable = false
     await fleet.clock.advance(8_000)
     fleet.store.upstreams = [createUpstream('u1')]
     fleet.store.version++
@@ -137,26 +137,26 @@
     fleet = createFleet(DATA_CENTRES)
     fleet.add(9)
     await fleet.clock.advance(6_000)
-    for (const box of fleet.boxes.slice(5)) box.isTurnedAway = true
+    for (const box of fleet.boxes.slice(5)) box.isStoreUnavailable = true
     for (let round = 0; round < 30; round++) {
       fleet.store.upstreams = [createUpstream(`u${round}`), createUpstream('stays')]
       fleet.store.version++
-      if (round === 8) for (const box of fleet.add(3)) box.isTurnedAway = true
+      if (round === 8) for (const box of fleet.add(3)) box.isStoreUnavailable = true
       await fleet.clock.advance(300)
     }
-    expect(fleet.notes.filter(({ event }) => event === 'list-lost')).to.deep.equal([])
+    expect(fleet.eventLog.filter(({ event }) => event === 'list-lost')).to.deep.equal([])
   })
 
   it('shares the work of 90 boxes in 4 to 18 messages per box and second', async () => {
     fleet = await startFleet(90)
-    const sentBefore = fleet.sent('work') + fleet.sent('work-sums')
-    const prompt = { model: 'm', whole: 90, shared: 0, sharedTokens: 0 }
+    const sentBefore = fleet.sentCount('work') + fleet.sentCount('work-sums')
+    const prompt = { model: 'm', prefillTime: 90, sharedPrefillTime: 0, sharedTokens: 0 }
     for (let round = 0; round < 8; round++) {
       for (const { gateway } of fleet.boxes)
         gateway.services.work.begin(`u${round}`, prompt, 1_000, true)
       await fleet.clock.advance(250)
     }
-    const sent = fleet.sent('work') + fleet.sent('work-sums') - sentBefore
+    const sent = fleet.sentCount('work') + fleet.sentCount('work-sums') - sentBefore
     // Messages per box and second.
     expect(sent / 90 / 2).to.be.within(4, 18)
     for (const { gateway } of fleet.boxes)
@@ -172,7 +172,7 @@
     await relay.gateway.stop()
     await fleet.clock.advance(5_000)
     const [sender] = near as [FleetBox]
-    const prompt = { model: 'm', whole: 500, shared: 0, sharedTokens: 0 }
+    const prompt = { model: 'm', prefillTime: 500, sharedPrefillTime: 0, sharedTokens: 0 }
     sender.gateway.services.work.begin('engine-1', prompt, 1_000, true)
     await fleet.clock.advance(150)
     for (const { identity, gateway } of near)
@@ -204,7 +204,7 @@
     await fleet.clock.advance(20)
     for (const { identity, gateway } of restarted) {
       expect(gateway.services.boxCount(), identity.box).to.be.below(30)
-      expect(gateway.services.sharingBoxes(), identity.box).to.equal(30)
+      expect(gateway.services.budgetBoxCount(), identity.box).to.equal(30)
     }
   })
 
@@ -238,13 +238,21 @@
     fleet.add(60)
     await fleet.clock.advance(6_000)
     const { upstreams, outcomes } = fleet.boxes[0]!.gateway.services
-    const query = { service: 'pool', admits: () => true, tried: [], bodyBytes: 0, channelLimit: 9 }
+    const query = {
+      service: 'pool',
+      admits: () => true,
+      tried: [],
+      bodyBytes: 0,
+      connectionLimit: 9,
+    }
     for (let upstream = upstreams.pick(query); upstream; upstream = upstreams.pick(query))
-      outcomes.note(upstream, 'gone')
+      outcomes.record(upstream, 'gone')
     await fleet.clock.advance(100)
     for (const { identity, gateway } of fleet.boxes)
-      expect(gateway.services.upstreams.couldTake(query, Infinity), identity.box).to.equal(false)
-    expect(fleet.sent('upstreams-gone') / 60).to.be.at.most(10)
+      expect(gateway.services.upstreams.canSendBefore(query, Infinity), identity.box).to.equal(
+        false,
+      )
+    expect(fleet.sentCount('upstreams-gone') / 60).to.be.at.most(10)
   })
 
   it('counts all boxes as live within 2.5 s of a restart of all', async () => {
@@ -274,7 +282,7 @@
   it('shares the work of a box within its data centre only', async () => {
     fleet = await startFleet(30)
     const sender = fleet.boxes[0]!
-    const prompt = { model: 'm', whole: 500, shared: 0, sharedTokens: 0 }
+    const prompt = { model: 'm', prefillTime: 500, sharedPrefillTime: 0, sharedTokens: 0 }
     sender.gateway.services.work.begin('engine-1', prompt, 1_000, true)
     await fleet.clock.advance(50)
     for (const { identity, gateway } of fleet.boxes) {
--- a/packages/gateway/test/gateway.test.ts
+++ b/packages/gateway/test/gateway.test.ts
@@ -6,7 +6,7 @@
   createTestRoute,
   startTestGateway,
   startUpstream,
-  type Behaviour,
+  type UpstreamHandler,
   type StandInUpstream,
   type TestGateway,
 } from './testGateway.js'
@@ -41,7 +41,7 @@
       text: String(error),
     }))
     .finally(() => (isDone = true))
-  await running.until(() => isDone)
+  await running.advanceUntil(() => isDone)
   return response
 }
 
@@ -55,25 +55,25 @@
   socket.on('close', () => (isClosed = true))
   socket.on('error', () => (isClosed = true))
   socket.write('GET /desk/1 HTTP/1.1\r\nhost: 127.0.0.1\r\nid: r1\r\ntime-left: 5000\r\n\r\n')
-  await running.until(() => isClosed || text.includes('0\r\n\r\n'))
+  await running.advanceUntil(() => isClosed || text.includes('0\r\n\r\n'))
   socket.destroy()
   return text
 }
 
-const succeeds: Behaviour = (message, response) => {
+const succeeds: UpstreamHandler = (message, response) => {
   response.writeHead(200, { signed: '1', id: message.headers.id as string }).end('done')
 }
 
-const fails: Behaviour = (message, response) => {
+const fails: UpstreamHandler = (message, response) => {
   response.writeHead(500, { signed: '1', id: message.headers.id as string }).end('no')
 }
 
-const silent: Behaviour = () => {}
+const silent: UpstreamHandler = () => {}
 
 const events = (from: number, to: number): string =>
   Array.from({ length: to - from + 1 }, (_, index) => `id: ${from + index}\ndata: x\n\n`).join('')
 
-function streams(from: number, to: number, confidence?: number): Behaviour {
+function streams(from: number, to: number, confidence?: number): UpstreamHandler {
   return (message, response) => {
     response.writeHead(200, {
       signed: '1',
@@ -124,7 +124,7 @@
   })
 
   it('sends a Retry-After when the upstream reports that the call has not run', async () => {
-    const rejects: Behaviour = (message, response) => {
+    const rejects: UpstreamHandler = (message, response) => {
       response.writeHead(503, { id: message.headers.id as string, 'not-run': '1' }).end()
     }
     const routes = [createTestRoute({ kind: 'unsafe', maxAttempts: 1 })]
@@ -135,7 +135,7 @@
   })
 
   it('answers 502 when the upstream response carries the id of another request', async () => {
-    const foreign: Behaviour = (_message, response) => {
+    const foreign: UpstreamHandler = (_message, response) => {
       response.writeHead(200, { signed: '1', id: 'another' }).end('not yours')
     }
     const routes = [createTestRoute({ kind: 'unsafe' })]
@@ -144,7 +144,7 @@
   })
 
   it('forwards a response without framing as unframed, so that a truncated one does not look complete', async () => {
-    const truncates: Behaviour = (message, response) => {
+    const truncates: UpstreamHandler = (message, response) => {
       const socket = message.socket
       socket.write(
         `HTTP/1.1 200 OK\r\nsigned: 1\r\nid: ${String(message.headers.id)}\r\n\r\nhalf of it`,
@@ -161,11 +161,11 @@
   })
 
   it('resumes a broken stream at another upstream and delivers every event once', async () => {
-    const breaks: Behaviour = (message, response) => {
+    const breaks: UpstreamHandler = (message, response) => {
       response.writeHead(200, { signed: 'first', id: message.headers.id as string })
       response.write(events(1, 3) + 'id: 4\nda', () => message.socket.destroy())
     }
-    const resumes: Behaviour = (message, response) => {
+    const resumes: UpstreamHandler = (message, response) => {
       const from = Number(message.headers['last-event-id'] ?? 0) + 1
       streams(from, 6)(message, response)
     }
@@ -180,7 +180,7 @@
   })
 
   it('aborts a broken stream that cannot be resumed, so that it does not look complete', async () => {
-    const breaks: Behaviour = (message, response) => {
+    const breaks: UpstreamHandler = (message, response) => {
       response.writeHead(200, { signed: '1', id: message.headers.id as string })
       response.write(events(1, 2), () => message.socket.destroy())
     }
@@ -188,11 +188,11 @@
     const running = await start([await startUpstream('u1', breaks)], { routes: [route] })
     const response = await sendRequest(running)
     expect(response.status).to.equal(0)
-    expect(running.lines.at(-1)?.outcome).to.include('broke')
+    expect(running.requestLog.at(-1)?.outcome).to.include('broke')
   })
 
   it('discards a low-confidence response before forwarding any of it, and escalates to the largest model', async () => {
-    const byModel: Behaviour = (message, response) => {
+    const byModel: UpstreamHandler = (message, response) => {
       const isSmall = message.headers.model === 'small'
       streams(1, isSmall ? 9 : 2, isSmall ? 10 : 80)(message, response)
     }
@@ -207,7 +207,7 @@
   })
 
   it('escalates a low-confidence response to the largest model at the same upstream when there is no other', async () => {
-    const byModel: Behaviour = (message, response) => {
+    const byModel: UpstreamHandler = (message, response) => {
       const isSmall = message.headers.model === 'small'
       streams(1, isSmall ? 9 : 2, isSmall ? 10 : 80)(message, response)
     }
@@ -221,7 +221,7 @@
   it('cancels the upstream request when the caller disconnects before or during the response', async () => {
     for (const sentBody of ['', events(1, 2)]) {
       let isCancelled = false
-      const staysOpen: Behaviour = (message, response) => {
+      const staysOpen: UpstreamHandler = (message, response) => {
         message.socket.once('close', () => (isCancelled = true))
         if (sentBody === '') return
         response.writeHead(200, { signed: '1', id: message.headers.id as string })
@@ -234,17 +234,17 @@
       let received = ''
       socket.on('data', chunk => (received += String(chunk)))
       socket.write('GET /desk/1 HTTP/1.1\r\nhost: 127.0.0.1\r\nid: r1\r\ntime-left: 5000\r\n\r\n')
-      await running.until(() => upstream.requests.length > 0 && received.includes(sentBody))
+      await running.advanceUntil(() => upstream.requests.length > 0 && received.includes(sentBody))
       const disconnectedAt = running.clock.now()
       socket.destroy()
-      await running.until(() => isCancelled)
+      await running.advanceUntil(() => isCancelled)
       expect(running.clock.now() - disconnectedAt).to.be.below(500)
-      expect(running.lines.at(-1)?.outcome).to.equal('caller-left')
+      expect(running.requestLog.at(-1)?.outcome).to.equal('caller-left')
     }
   })
 
   it('resumes a stalled stream at another upstream', async () => {
-    const stalls: Behaviour = (message, response) => {
+    const stalls: UpstreamHandler = (message, response) => {
       if (message.headers['last-event-id'] !== undefined) return streams(3, 4)(message, response)
       response.writeHead(200, { signed: '1', id: message.headers.id as string })
       response.write(events(1, 2))
@@ -265,23 +265,23 @@
         admits: () => true,
         tried: upstreams.map(upstream => upstream.id).filter(other => other !== id),
         bodyBytes: 0,
-        channelLimit: 9,
+        connectionLimit: 9,
       })!
     const unreachable = pick('u1')
     pick('u2').health.lastHeardAt = Infinity
-    services.outcomes.note(pick('u2'), 'unreachable')
+    services.outcomes.record(pick('u2'), 'unreachable')
     const response = sendRequest(running)
-    await running.until(() => upstreams[0]!.requests.length > 0)
-    services.upstreams.noteReturned(pick('u2'))
+    await running.advanceUntil(() => upstreams[0]!.requests.length > 0)
+    services.upstreams.markReachable(pick('u2'))
     const sentAt = running.clock.now()
-    services.outcomes.note(unreachable, 'unreachable')
+    services.outcomes.record(unreachable, 'unreachable')
     expect((await response).text).to.equal(events(1, 2))
     expect(running.clock.now() - sentAt).to.be.below(300)
     expect(services.rollouts.answers.filter(({ bad }) => bad > 0)).to.deep.equal([])
   })
 
   it('stops using an upstream whose address answers 421, without counting the attempt', async () => {
-    const misdirected: Behaviour = (message, response) => {
+    const misdirected: UpstreamHandler = (message, response) => {
       response.writeHead(421, { 'not-run': '1', id: message.headers.id as string }).end()
     }
     const replaced = await Promise.all(['u1', 'u2', 'u3'].map(id => startUpstream(id, misdirected)))
@@ -313,7 +313,7 @@
   })
 
   it('counts a broken response as a failure of the version only while the upstream process is alive', async () => {
-    const breaks: Behaviour = (_message, response) => void response.socket?.destroy()
+    const breaks: UpstreamHandler = (_message, response) => void response.socket?.destroy()
     const alive = await startUpstream('u1', breaks)
     let exit = () => {}
     const crashed = await startUpstream('u2', () => exit())
@@ -324,12 +324,12 @@
       routes: [STREAM],
     })
     const { rollouts } = running.gateway.services
-    rollouts.takeOrders([{ service: 'desk', target: 'v9', duration: 60_000, revision: 1 }])
+    rollouts.applyOrders([{ service: 'desk', target: 'v9', duration: 60_000, revision: 1 }])
     const failedRowsOf = (version: string) =>
       rollouts.answers.filter(count => count.version === version && count.bad > 0).length
     for (let count = 0; count < 12; count++)
       expect((await sendRequest(running, { id: `r${count}` })).text).to.equal(events(1, 2))
-    await running.until(() => failedRowsOf('lives') > 0)
+    await running.advanceUntil(() => failedRowsOf('lives') > 0)
     expect(crashed.requests.length).to.be.at.least(1)
     expect(failedRowsOf('crashes')).to.equal(0)
   })
@@ -347,7 +347,7 @@
 
   it('refuses a stream that a draining box could not finish in time', async () => {
     const running = await start([await startUpstream('u1', streams(1, 2))], { routes: [STREAM] })
-    running.gateway.beginToLeave()
+    running.gateway.startDraining()
     expect((await sendRequest(running)).status).to.equal(200)
     await running.clock.advance(3_000)
     const response = await sendRequest(running)
@@ -406,7 +406,7 @@
       socket.destroy()
     })
     socket.once('close', () => (isClosed = true))
-    await running.until(() => isClosed)
+    await running.advanceUntil(() => isClosed)
     await running.clock.advance(200)
     expect(upstream.requests).to.have.length(1)
   })
@@ -415,19 +415,19 @@
     const running = await start([await startUpstream('u1', succeeds)], {})
     const { operators, upstreams } = running.gateway.services
     const before = operators.state
-    expect(operators.take({ ...before, revision: 5 })).to.equal(true)
-    expect(operators.take(before)).to.equal(false)
+    expect(operators.apply({ ...before, revision: 5 })).to.equal(true)
+    expect(operators.apply(before)).to.equal(false)
     expect(operators.state.revision).to.equal(5)
-    upstreams.list.take([], 9)
-    expect(upstreams.list.take(running.store.upstreams, 8)).to.equal(false)
+    upstreams.list.apply([], 9)
+    expect(upstreams.list.apply(running.store.upstreams, 8)).to.equal(false)
     expect(upstreams.list.listed).to.deep.equal([])
   })
 
   it('does not share an upstream that it keeps through a store outage but the store no longer lists', async () => {
     const running = await start([await startUpstream('u1', succeeds)], {})
     const { upstreams } = running.gateway.services
-    upstreams.list.noteOutage(3_000)
-    upstreams.list.take([], 9)
+    upstreams.list.recordOutage(3_000)
+    upstreams.list.apply([], 9)
     // This box may still use the upstream for a while, but shares only the list from the store.
     expect(upstreams.list.listed).to.deep.equal([])
   })
--- a/packages/gateway/test/playedCrashes.ts
+++ b/packages/gateway/test/playedCrashes.ts
@@ -1,5 +1,5 @@
 import { createSeededRandom, type ListedUpstream, type Milliseconds } from '@yewkeel/decisions'
-import type { ExchangeListener, OpenChannels, RawHeaders } from '../src/index.js'
+import type { ExchangeListener, OpenConnectionPool, RawHeaders } from '../src/index.js'
 import { createFleet, type Fleet, type FleetBox } from './testFleet.js'
 import { createSimulatedDialect, headerOf } from './playedDialect.js'
 import { createTestRoute } from './testGateway.js'
@@ -124,13 +124,14 @@
       services: ['pool', 'desk'].map(name => ({ name, healthPath: '/', maxConnections: 400 })),
       limits: { bodyBytes: 1_000, headerTimeout: 1_000, idleTimeout: 1_000 },
     },
-    openChannels: address => createChannels(upstreams.find(({ name }) => name === address)!),
+    openConnectionPool: address =>
+      createConnectionPool(upstreams.find(({ name }) => name === address)!),
     probe: address => Promise.resolve(!upstreams.find(({ name }) => name === address)!.isDown),
   })
   const { clock, store } = fleet
   let crashCount = 0
 
-  function createChannels(upstream: SimulatedUpstream): ReturnType<OpenChannels> {
+  function createConnectionPool(upstream: SimulatedUpstream): ReturnType<OpenConnectionPool> {
     return {
       open: 0,
       idle: 0,
@@ -243,7 +244,7 @@
         write() {},
         end: () => finish(true),
         abort: () => finish(false),
-        onGone() {},
+        onDisconnect() {},
       },
     )
   }
@@ -297,7 +298,7 @@
   )
   await clock.advance(duration + REQUEST_TIMEOUT)
   await fleet.stop()
-  const quarantined = fleet.lines.filter(({ outcome }) => outcome === 'condemned')
+  const quarantined = fleet.requestLog.filter(({ outcome }) => outcome === 'condemned')
   const responseCount = records.reduce((sum, { statuses }) => sum + statuses.length, 0)
   const digests = new Set(quarantined.map(({ request }) => request))
   return {
--- a/packages/gateway/test/playedDialect.ts
+++ b/packages/gateway/test/playedDialect.ts
@@ -25,7 +25,7 @@
       ...readFields(name => headerOf(headers, name)),
     }),
     writeRequest: headers => [...headers],
-    readAnswer(headers) {
+    readResponse(headers) {
       const limit = numericHeaderOf(headers, 'limit')
       const retryAfter = numericHeaderOf(headers, 'retry-after')
       return {
@@ -38,8 +38,8 @@
         ...(headerOf(headers, 'leaving') !== undefined && { isLeaving: true }),
       }
     },
-    writeAnswer: () => [],
-    writeRefusal: (_id, retryAfter) =>
+    writeResponse: () => [],
+    writeRejection: (_id, retryAfter) =>
       retryAfter === undefined ? [] : ['retry-after', String(retryAfter / 1_000)],
   }
 }
--- a/packages/gateway/test/playedRollout.ts
+++ b/packages/gateway/test/playedRollout.ts
@@ -1,5 +1,5 @@
 import { createSeededRandom, type Milliseconds, type Random } from '@yewkeel/decisions'
-import type { ExchangeListener, OpenChannels } from '../src/index.js'
+import type { ExchangeListener, OpenConnectionPool } from '../src/index.js'
 import { createSimulatedDialect, headerOf } from './playedDialect.js'
 import { createTestRoute } from './testGateway.js'
 import { createFleet, type Fleet } from './testFleet.js'
@@ -151,11 +151,11 @@
       services: [{ name: 'pool', healthPath: '/', maxConnections: 400 }],
       limits: { bodyBytes: 1_000, headerTimeout: 1_000, idleTimeout: 1_000 },
     },
-    openChannels: address => createChannels(engines.find(({ id }) => id === address)!),
+    openConnectionPool: address => createConnectionPool(engines.find(({ id }) => id === address)!),
   })
   const { clock, store } = fleet
 
-  function createChannels(engine: SimulatedEngine): ReturnType<OpenChannels> {
+  function createConnectionPool(engine: SimulatedEngine): ReturnType<OpenConnectionPool> {
     return {
       open: 0,
       idle: 0,
@@ -248,7 +248,7 @@
         body: Buffer.alloc(0),
         receivedAt: clock.now(),
       },
-      { start() {}, write() {}, end: () => void served++, abort() {}, onGone() {} },
+      { start() {}, write() {}, end: () => void served++, abort() {}, onDisconnect() {} },
     )
   }
   clock.after(0, sendRequests)
--- a/packages/gateway/test/playedStatements.ts
+++ b/packages/gateway/test/playedStatements.ts
@@ -1,5 +1,5 @@
 import { createSeededRandom, type ListedUpstream, type Milliseconds } from '@yewkeel/decisions'
-import type { ExchangeListener, OpenChannels } from '../src/index.js'
+import type { ExchangeListener, OpenConnectionPool } from '../src/index.js'
 import { createFleet, type Fleet, type FleetBox } from './testFleet.js'
 import { createSimulatedDialect, headerOf } from './playedDialect.js'
 import { createTestRoute } from './testGateway.js'
@@ -8,7 +8,7 @@
 export type RouteName = 'chat' | 'check' | 'hold'
 
 /** What the responses of the first `count` upstreams of a service announce for some time. */
-export interface Says {
+export interface Announcement {
   service: Service
   count: number
   from: Milliseconds
@@ -16,14 +16,14 @@
   /** Rate limit of each upstream for all boxes together, in requests per second. */
   limit?: number
   /** Each upstream rejects all requests with a Retry-After of this many seconds. */
-  rest?: number
+  retryAfterSeconds?: number
   /** Each upstream announces that it drains. */
   isLeaving?: boolean
 }
 
 /** Load, faults and announcements of a simulation; times count from the end of the warm-up. */
-export interface StatementPlay {
-  says?: readonly Says[]
+export interface AdvertisementScenario {
+  announcements?: readonly Announcement[]
   boxes?: number
   seed?: number
   duration?: Milliseconds
@@ -34,17 +34,20 @@
   /** Callers send only to this many boxes, the first ones. */
   calledBoxes?: number
   /** Faults to inject, each at a time. */
-  trouble?: readonly { at: Milliseconds; strike(world: StatementWorld): void | Promise<void> }[]
+  faults?: readonly {
+    at: Milliseconds
+    inject(world: AdvertisementSimulation): void | Promise<void>
+  }[]
 }
 
 /** The running simulation, as faults act on it. */
-export interface StatementWorld {
+export interface AdvertisementSimulation {
   fleet: Fleet
   upstreams: readonly SimulatedUpstream[]
   /** Stops boxes without draining them and starts them again. */
   restart(boxes: readonly FleetBox[]): Promise<void>
   /** Writes the upstream list to the store, all as `ready`. */
-  list(): void
+  writeUpstreamList(): void
 }
 
 /** A request that an upstream received. */
@@ -72,7 +75,7 @@
   readonly drainSentAt = new Map<string, Milliseconds>()
   firstLimitAt = Infinity
   /** Number of its process; announcements of earlier processes are void. */
-  run = 1
+  processNumber = 1
   /** Whether its entry is missing from the upstream list. */
   isUnlisted = false
 
@@ -80,16 +83,22 @@
     readonly name: string,
     readonly service: Service,
     readonly dataCentre: string,
-    private readonly schedule: readonly Says[],
+    private readonly schedule: readonly Announcement[],
   ) {}
 
   /** What its responses announce at a time. */
-  announcedAt(now: Milliseconds): Pick<Says, 'limit' | 'rest' | 'isLeaving'> {
+  announcedAt(now: Milliseconds): Pick<Announcement, 'limit' | 'retryAfterSeconds' | 'isLeaving'> {
     const announced = {}
-    for (const { from, until = Infinity, limit, rest, isLeaving } of this.schedule) {
+    for (const {
+      from,
+      until = Infinity,
+      limit,
+      retryAfterSeconds: retryAfterSeconds,
+      isLeaving,
+    } of this.schedule) {
       if (now < from || now >= until) continue
       if (limit !== undefined) Object.assign(announced, { limit })
-      if (rest !== undefined) Object.assign(announced, { rest })
+      if (retryAfterSeconds !== undefined) Object.assign(announced, { retryAfterSeconds })
       if (isLeaving) Object.assign(announced, { isLeaving })
     }
     return announced
@@ -102,17 +111,17 @@
   at: Milliseconds
   route: RouteName
   isServed: boolean
-  took: Milliseconds
+  latency: Milliseconds
   status: number | undefined
   /** From the Retry-After header; undefined without one. */
   retryAfter: Milliseconds | undefined
 }
 
 /** Result of a simulation; times count from the end of the warm-up. */
-export interface PlayedStatements {
+export interface AdvertisementSimulationResult {
   fleet: Fleet
   upstreams: readonly SimulatedUpstream[]
-  ended: FinishedRequest[]
+  finishedRequests: FinishedRequest[]
   /** Time of the last restart, by box. */
   restarted: Map<string, Milliseconds>
 }
@@ -131,13 +140,19 @@
 const dialect = createSimulatedDialect(get => ({ key: get('key')!, timeLeft: REQUEST_TIMEOUT }))
 
 /** Simulates a fleet of boxes whose upstreams announce rate limits, Retry-After or draining. */
-export async function playStatements(options: StatementPlay): Promise<PlayedStatements> {
-  const { says = [], boxes = 6, seed = 1, duration = 24_000, trouble = [] } = options
+export async function simulateAdvertisements(
+  options: AdvertisementScenario,
+): Promise<AdvertisementSimulationResult> {
+  const { announcements = [], boxes = 6, seed = 1, duration = 24_000, faults = [] } = options
   const { streams = 60, calls = 100, calledBoxes = Infinity } = options
   const random = createSeededRandom(seed)
   const upstreams = [
-    ...Array.from({ length: POOL_SIZE }, (_, index) => createUpstream('pool', index, says)),
-    ...Array.from({ length: DESK_SIZE }, (_, index) => createUpstream('desk', index, says)),
+    ...Array.from({ length: POOL_SIZE }, (_, index) =>
+      createUpstream('pool', index, announcements),
+    ),
+    ...Array.from({ length: DESK_SIZE }, (_, index) =>
+      createUpstream('desk', index, announcements),
+    ),
   ]
   const byName = new Map(upstreams.map(upstream => [upstream.name, upstream]))
   const fleet = createFleet(['ebene', 'le-morne'], {
@@ -162,12 +177,12 @@
       services: ['pool', 'desk'].map(name => ({ name, healthPath: '/', maxConnections: 4_000 })),
       limits: { bodyBytes: 1_000, headerTimeout: 1_000, idleTimeout: 1_000 },
     },
-    openChannels: address => createChannels(byName.get(address)!),
+    openConnectionPool: address => createConnectionPool(byName.get(address)!),
   })
   const { clock, store } = fleet
   const elapsed = () => clock.now() - WARM_UP_DURATION
 
-  function createChannels(upstream: SimulatedUpstream): ReturnType<OpenChannels> {
+  function createConnectionPool(upstream: SimulatedUpstream): ReturnType<OpenConnectionPool> {
     return {
       open: 0,
       idle: 0,
@@ -178,8 +193,9 @@
         upstream.receivedRequests.push({ at: elapsed(), box, sentAt })
         const response = new SimulatedResponse(listener, () => responseHeaders(upstream, box))
         const isStream = request.target.startsWith('/chat/')
-        const { rest } = upstream.announcedAt(elapsed())
-        if (rest !== undefined) clock.after(1, () => reject(upstream, box, rest, response))
+        const { retryAfterSeconds: retryAfterSeconds } = upstream.announcedAt(elapsed())
+        if (retryAfterSeconds !== undefined)
+          clock.after(1, () => reject(upstream, box, retryAfterSeconds, response))
         else if (isStream) stream(response, Number(headerOf(request.headers, 'last-event-id') ?? 0))
         else clock.after(CALL_DURATION, () => response.finish())
         return { cancel: () => response.close() }
@@ -225,16 +241,18 @@
   function list(): void {
     store.version++
     const listed = upstreams.filter(({ isUnlisted }) => !isUnlisted)
-    store.upstreams = listed.map(({ name, service, dataCentre, run }): ListedUpstream => ({
-      id: `${name}/${run}`,
-      service,
-      address: name,
-      dataCentre,
-      version: 'v1',
-      slots: SLOT_COUNT,
-      state: 'ready',
-      revision: store.version,
-    }))
+    store.upstreams = listed.map(
+      ({ name, service, dataCentre, processNumber }): ListedUpstream => ({
+        id: `${name}/${processNumber}`,
+        service,
+        address: name,
+        dataCentre,
+        version: 'v1',
+        slots: SLOT_COUNT,
+        state: 'ready',
+        revision: store.version,
+      }),
+    )
   }
 
   const ended: FinishedRequest[] = []
@@ -250,7 +268,7 @@
     const finish = (isComplete: boolean) => {
       const took = elapsed() - sentAt
       const isServed = isComplete && status === 200
-      ended.push({ at: sentAt, route, isServed, took, status, retryAfter })
+      ended.push({ at: sentAt, route, isServed, latency: took, status, retryAfter })
     }
     box.gateway.handle(
       {
@@ -273,7 +291,7 @@
         write() {},
         end: () => finish(true),
         abort: () => finish(false),
-        onGone() {},
+        onDisconnect() {},
       },
     )
   }
@@ -286,10 +304,10 @@
   }
 
   const restarted = new Map<string, Milliseconds>()
-  const simulation: StatementWorld = {
+  const simulation: AdvertisementSimulation = {
     fleet,
     upstreams,
-    list,
+    writeUpstreamList: list,
     async restart(stopped) {
       for (const { identity } of stopped) restarted.set(identity.box, elapsed())
       await fleet.restart(stopped)
@@ -298,16 +316,20 @@
   fleet.add(boxes)
   list()
   await clock.advance(WARM_UP_DURATION)
-  for (const { at, strike } of trouble) clock.after(at, () => void strike(simulation))
+  for (const { at, inject } of faults) clock.after(at, () => void inject(simulation))
   clock.after(0, () => sendRequests(streams, () => 'chat'))
   clock.after(0, () => sendRequests(calls, () => (random() < 0.5 ? 'check' : 'hold')))
   await clock.advance(duration + REQUEST_TIMEOUT)
   await fleet.stop()
-  return { fleet, upstreams, ended, restarted }
+  return { fleet, upstreams, finishedRequests: ended, restarted }
 }
 
-function createUpstream(service: Service, index: number, says: readonly Says[]): SimulatedUpstream {
-  const own = says.filter(entry => entry.service === service && index < entry.count)
+function createUpstream(
+  service: Service,
+  index: number,
+  announcements: readonly Announcement[],
+): SimulatedUpstream {
+  const own = announcements.filter(entry => entry.service === service && index < entry.count)
   return new SimulatedUpstream(
     `${service}-${index}`,
     service,
@@ -366,7 +388,7 @@
 const LIMIT_SLACK = 5
 
 /** Requests above the rate limit in the worst window of any upstream; at most 0 passes. */
-export function limitExcess({ upstreams, restarted }: PlayedStatements): number {
+export function limitExcess({ upstreams, restarted }: AdvertisementSimulationResult): number {
   const excess = upstreams.flatMap(upstream => {
     const counted = upstream.receivedRequests.filter(({ at, box }) => {
       const limitSentAt = upstream.limitSentAt.get(box) ?? Infinity
@@ -397,7 +419,10 @@
 }
 
 /** The most requests that an upstream received from a box before its Retry-After expired. */
-export function mostInRest({ upstreams, restarted }: PlayedStatements): number {
+export function maxRequestsDuringBackOff({
+  upstreams,
+  restarted,
+}: AdvertisementSimulationResult): number {
   const counts = upstreams.flatMap(({ receivedRequests, rejections }) =>
     rejections.map(({ box, at: rejectedAt, retryAfter }) => {
       const early = receivedRequests.filter(
@@ -417,7 +442,10 @@
 const DRAIN_DELAY: Milliseconds = 2_000
 
 /** Requests sent more than `DRAIN_DELAY` after the upstream announced draining to the box. */
-export function lateAtLeaving({ upstreams, restarted }: PlayedStatements): number {
+export function countRequestsAfterDrain({
+  upstreams,
+  restarted,
+}: AdvertisementSimulationResult): number {
   return upstreams.reduce((sum, { receivedRequests, drainSentAt }) => {
     const late = receivedRequests.filter(({ box, sentAt }) => {
       const knownAt = drainSentAt.get(box) ?? Infinity
@@ -428,13 +456,15 @@
 }
 
 /** Fraction of the requests on some routes sent from `from` to `to` that were served, 0 to 1. */
-export function servedShare(
-  { ended }: PlayedStatements,
+export function servedFraction(
+  { finishedRequests }: AdvertisementSimulationResult,
   routes: readonly RouteName[],
   from: Milliseconds,
   to: Milliseconds,
 ): number {
-  const matching = ended.filter(({ at, route }) => routes.includes(route) && at >= from && at < to)
+  const matching = finishedRequests.filter(
+    ({ at, route }) => routes.includes(route) && at >= from && at < to,
+  )
   return matching.filter(({ isServed }) => isServed).length / matching.length
 }
 
--- a/packages/gateway/test/reachability.test.ts
+++ b/packages/gateway/test/reachability.test.ts
@@ -3,7 +3,7 @@
   createExchangeHealth,
   createSeededRandom,
   ManualClock,
-  NO_REST,
+  NO_BACK_OFF,
   type ListedUpstream,
 } from '@yewkeel/decisions'
 import { expect } from 'chai'
@@ -11,11 +11,11 @@
   SendBudget,
   createGatewayMetrics,
   EngineWork,
-  limitOpening,
+  limitConnectTime,
   probeConnection,
   ReachabilityWatch,
   UnreachableError,
-  UpstreamChannels,
+  UpstreamConnectionPool,
   UpstreamDirectory,
   UpstreamOutcomes,
   type Upstream,
@@ -43,35 +43,40 @@
     clock,
     random: createSeededRandom(3),
     dataCentre: 'a',
-    log: { note: () => {}, request: () => {} },
-    work: new EngineWork({ clock, tell: () => {}, role: () => 'direct', listeners: () => 0 }),
+    log: { event: () => {}, request: () => {} },
+    work: new EngineWork({ clock, send: () => {}, role: () => 'direct', recipientCount: () => 0 }),
     budget: new SendBudget({
       clock,
       self: 'box',
-      startOf: () => undefined,
+      coldStartOf: () => undefined,
       overage: () => ({ times: 1, slack: 0 }),
       boxesVersion: () => 0,
       boxes: () => [],
       boxCount: () => 0,
-      limited: () => 0,
-      hearsOthers: () => true,
+      limitedCount: () => 0,
+      hasRecentGossip: () => true,
+    }),
+    stateOf: () => ({
+      isLeaving: false,
+      backOffUntil: NO_BACK_OFF,
+      sentSinceLog: 0,
+      hasLoggedMalformed: false,
     }),
-    saidBy: () => ({ isLeaving: false, restUntil: NO_REST, sent: 0, hasUnreadable: false }),
     suspects: { trialsAt: () => new Map() },
-    namesService: () => true,
-    openChannels: address => new UpstreamChannels(address, clock),
-    knowsFarWork: () => true,
+    isConfigured: () => true,
+    openConnectionPool: address => new UpstreamConnectionPool(address, clock),
+    knowsRemoteWork: () => true,
   })
   const outcomes = new UpstreamOutcomes({
     clock,
-    log: { note: () => {}, request: () => {} },
+    log: { event: () => {}, request: () => {} },
     metrics: createGatewayMetrics(),
     all: () => directory.all(),
     onGone: () => {},
     onUnreachable: upstream => void unreachable.push(upstream.listed.id),
   })
-  directory.list.take([listed('one'), listed('two')], 1)
-  const query = { service: 'pool', admits: () => true, bodyBytes: 0, channelLimit: 9 }
+  directory.list.apply([listed('one'), listed('two')], 1)
+  const query = { service: 'pool', admits: () => true, bodyBytes: 0, connectionLimit: 9 }
   const pick = (tried: string[]) => directory.pick({ ...query, tried })!
   return { directory, outcomes, unreachable, pick, one: pick(['two']), two: pick(['one']) }
 }
@@ -80,20 +85,20 @@
   it('receives nothing until it is reachable again', async () => {
     const clock = new ManualClock()
     const { directory, outcomes, unreachable, pick, one, two } = createDirectory(clock)
-    outcomes.note(one, 'unreachable')
+    outcomes.record(one, 'unreachable')
     expect(unreachable).to.deep.equal(['one'])
     await clock.advance(20_000)
     expect(pick([])).to.equal(two)
-    directory.noteReturned(one)
+    directory.markReachable(one)
     const picked = new Set(Array.from({ length: 40 }, () => pick([]).listed.id))
     expect([...picked].sort()).to.deep.equal(['one', 'two'])
   })
 
-  it('is not ejected by a box that has heard from no other upstream', async () => {
+  it('is not ejected by a box that has received nothing from any other upstream', async () => {
     const clock = new ManualClock()
     const { outcomes, unreachable, one } = createDirectory(clock)
     await clock.advance(5_000)
-    outcomes.note(one, 'unreachable')
+    outcomes.record(one, 'unreachable')
     expect(unreachable).to.deep.equal([])
   })
 })
@@ -116,7 +121,7 @@
     const look = async (until: number) => {
       while (clock.now() < until) {
         await clock.advance(100)
-        watch.look(new Map([[upstream, 0]]))
+        watch.probeSilent(new Map([[upstream, 0]]))
       }
     }
     return { watch, upstream, look, probes, reported }
@@ -149,7 +154,7 @@
   it('probes an unreachable upstream until it is reachable, without a request', async () => {
     const clock = new ManualClock()
     const { watch, upstream, probes, reported } = createWatch(clock, [false, false, true])
-    watch.awaitReturn(upstream)
+    watch.probeUntilReachable(upstream)
     await clock.advance(3_000)
     expect(probes).to.deep.equal([500, 1_000, 1_500])
     expect(reported).to.deep.equal(['reachable'])
@@ -162,7 +167,7 @@
     const socket = new Socket()
     let failure: Error | undefined
     socket.on('error', error => (failure = error))
-    limitOpening(socket, clock)
+    limitConnectTime(socket, clock)
     await clock.advance(150)
     expect(failure).to.equal(undefined)
     await clock.advance(60)
--- a/packages/gateway/test/retryBudget.test.ts
+++ b/packages/gateway/test/retryBudget.test.ts
@@ -5,7 +5,7 @@
   createTestRoute,
   startTestGateway,
   startUpstream,
-  type Behaviour,
+  type UpstreamHandler,
   type TestGateway,
 } from './testGateway.js'
 
@@ -17,7 +17,7 @@
 const REQUEST_COUNT = 40
 const RETRY_RATIO = 0.5
 
-const answerAsAnotherProcess: Behaviour = (message, response) => {
+const answerAsAnotherProcess: UpstreamHandler = (message, response) => {
   response.writeHead(421, { 'not-run': '1', id: message.headers.id as string }).end()
 }
 
@@ -38,7 +38,7 @@
       await body.dump()
       statuses.push(statusCode)
     })
-  await running.until(() => statuses.length === count)
+  await running.advanceUntil(() => statuses.length === count)
   return statuses
 }
 
@@ -56,7 +56,7 @@
       )
       const running = await startTestGateway(engines, { routes: [createTestRoute(route)] })
       open.push(running)
-      running.gateway.services.retries.limits = { ratio: RETRY_RATIO, slack: 0, window: 10_000 }
+      running.gateway.services.retryShares.limits = { ratio: RETRY_RATIO, slack: 0, window: 10_000 }
       const statuses = await sendConcurrently(running, REQUEST_COUNT)
       const arrivals = engines.reduce((sum, { requests }) => sum + requests.length, 0)
       expect(arrivals - REQUEST_COUNT).to.be.at.most(RETRY_RATIO * REQUEST_COUNT)
--- a/packages/gateway/test/rolloutTask.test.ts
+++ b/packages/gateway/test/rolloutTask.test.ts
@@ -14,7 +14,7 @@
   const task: RolloutTask = new RolloutTask({
     clock,
     random: createSeededRandom(2),
-    log: { note() {}, request() {} },
+    log: { event() {}, request() {} },
     store: {} as RolloutTaskOptions['store'],
     upstreams: {
       readyVersions: () => versions,
@@ -22,17 +22,17 @@
       inFlight: () => new Map(),
     } as unknown as RolloutTaskOptions['upstreams'],
     rank: () => 0,
-    allAnswers: () => [{ box: 'box-1', counts: task.answers }],
+    answerReports: () => [{ box: 'box-1', counts: task.answers }],
     exposureLimit: () => 0.15,
     onVerdict() {},
     onBadAnswer() {},
     ...change,
   })
-  task.takeOrders([ORDER])
+  task.applyOrders([ORDER])
   for (let count = 0; count < 20; count++) {
-    task.judge.noteOutcome(KEY, true)
-    task.judge.noteTime(KEY, 'start', 1)
-    task.judge.noteTime(KEY, 'pace', 30)
+    task.evaluator.recordOutcome(KEY, true)
+    task.evaluator.recordDuration(KEY, 'start', 1)
+    task.evaluator.recordDuration(KEY, 'pace', 30)
   }
   return task
 }
@@ -55,8 +55,8 @@
     } as unknown as RolloutTaskOptions['upstreams']
     const clock = new ManualClock()
     const task = createTask({ clock, upstreams })
-    task.noteStoreClock(0, clock.now())
-    task.takeStatuses([
+    task.updateStoreClock(0, clock.now())
+    task.mergeStatuses([
       { service: 'pool', target: 'v2', state: 'active', startedAt: -18_000, revision: 6 },
     ])
     const requests = Array.from({ length: 400 }, (_, at) => task.admission('pool', session(at)))
@@ -77,39 +77,39 @@
 describe('evidence on a version', () => {
   it('counts an answer slightly slower than the baseline as good', () => {
     const task = createTask()
-    task.judge.noteTime(TARGET_KEY, 'start', 1.05)
+    task.evaluator.recordDuration(TARGET_KEY, 'start', 1.05)
     expect(badCountOf(task, 'v2', 'start')).to.equal(0)
   })
 
   it('counts an answer that starts later than the baseline as bad', () => {
     const task = createTask()
-    task.judge.noteTime(TARGET_KEY, 'start', 1.2)
+    task.evaluator.recordDuration(TARGET_KEY, 'start', 1.2)
     expect(badCountOf(task, 'v2', 'start')).to.equal(1)
   })
 
   it('counts an answer with a slower pace than the baseline as bad', () => {
     const task = createTask()
-    task.judge.noteTime(TARGET_KEY, 'pace', 40)
+    task.evaluator.recordDuration(TARGET_KEY, 'pace', 40)
     expect(badCountOf(task, 'v2', 'pace')).to.equal(1)
   })
 
   it('counts a failed answer as bad', () => {
     const task = createTask()
-    task.judge.noteOutcome(TARGET_KEY, false)
+    task.evaluator.recordOutcome(TARGET_KEY, false)
     expect(badCountOf(task, 'v2', 'outcome')).to.equal(1)
   })
 
   it('excludes answers of a version on trial from the baseline', () => {
     const task = createTask()
-    for (let count = 0; count < 50; count++) task.judge.noteTime(TARGET_KEY, 'pace', 90)
+    for (let count = 0; count < 50; count++) task.evaluator.recordDuration(TARGET_KEY, 'pace', 90)
     expect(badCountOf(task, 'v2', 'pace')).to.equal(50)
   })
 
   it('counts an unfinished answer as bad if it was already slow, and ignores others', () => {
     const task = createTask()
-    task.judge.noteUnfinished(TARGET_KEY, 'start', 1)
+    task.evaluator.recordUnfinished(TARGET_KEY, 'start', 1)
     expect(badCountOf(task, 'v2', 'start')).to.equal(undefined)
-    task.judge.noteUnfinished(TARGET_KEY, 'start', 3)
+    task.evaluator.recordUnfinished(TARGET_KEY, 'start', 3)
     expect(badCountOf(task, 'v2', 'start')).to.equal(1)
   })
 })
@@ -118,7 +118,7 @@
   it('exclude a target whose rollout has not started or was rolled back', () => {
     const task = createTask()
     expect(task.admission('pool', undefined)('v2')).to.equal(false)
-    task.takeStatuses([
+    task.mergeStatuses([
       { service: 'pool', target: 'v2', state: 'rolled-back', startedAt: 0, revision: 6 },
     ])
     expect(task.admission('pool', undefined)('v2')).to.equal(false)
@@ -128,8 +128,8 @@
   it('are only the target after completion, even if an older status arrives later', () => {
     const task = createTask()
     const completed = { service: 'pool', target: 'v2', state: 'completed' as const, startedAt: 0 }
-    task.takeStatuses([{ ...completed, revision: 9 }])
-    task.takeStatuses([{ ...completed, state: 'active', revision: 6 }])
+    task.mergeStatuses([{ ...completed, revision: 9 }])
+    task.mergeStatuses([{ ...completed, state: 'active', revision: 6 }])
     expect(task.admission('pool', 's1')('v1')).to.equal(false)
     expect(task.admission('pool', 's1')('v2')).to.equal(true)
   })
@@ -165,19 +165,19 @@
       state: 'rolled-back' as const,
       startedAt: 0,
     }
-    task.takeStatuses([{ ...rolledBack, revision: 6 }])
-    task.takeOrders([{ ...ORDER, target: 'v3', revision: 7 }])
+    task.mergeStatuses([{ ...rolledBack, revision: 6 }])
+    task.applyOrders([{ ...ORDER, target: 'v3', revision: 7 }])
     const admitted = (rollouts: RolloutTask) =>
       [...versions.keys()].filter(rollouts.admission('pool', 's1'))
     expect(admitted(task)).to.eql(['v1'])
     // A box that starts later reads the rejected version from the status of the new rollout.
-    task.noteStoreClock(0, 0)
+    task.updateStoreClock(0, 0)
     task.tick()
     await Promise.resolve()
     const active = { service: 'pool', target: 'v3', state: 'active' as const, startedAt: 0 }
     const later = createTask(options)
-    later.takeOrders([{ ...ORDER, target: 'v3', revision: 7 }])
-    later.takeStatuses([{ ...active, ...written[0], revision: 8 }])
+    later.applyOrders([{ ...ORDER, target: 'v3', revision: 7 }])
+    later.mergeStatuses([{ ...active, ...written[0], revision: 8 }])
     expect(admitted(later)).to.eql(['v1'])
     // Only the rejected version is left: it serves rather than none.
     versions.delete('v1')
@@ -193,7 +193,7 @@
       inFlight: () => new Map(),
     }
     const task = createTask({ upstreams: upstreams as unknown as RolloutTaskOptions['upstreams'] })
-    task.takeOrders([])
+    task.applyOrders([])
     expect(task.admission('pool', undefined)('v1')).to.equal(true)
     versions.set('v3', 1)
     expect(task.admission('pool', undefined)('v3')).to.equal(false)
@@ -216,8 +216,8 @@
   async function createTrial(change: Partial<RolloutTaskOptions> = {}) {
     const clock = new ManualClock()
     const task = createTask({ clock, store: unavailableStore, ...change })
-    task.takeStatuses([{ ...active, revision: 6 }])
-    task.noteStoreClock(0, 0)
+    task.mergeStatuses([{ ...active, revision: 6 }])
+    task.updateStoreClock(0, 0)
     await clock.advance(0.75 * ORDER.duration)
     const sessions = Array.from({ length: 200 }, (_, number) => `s${number}`)
     const session = sessions.find(name => task.admission('pool', name)('v2'))!
@@ -230,7 +230,7 @@
     expect(admits('v2')).to.equal(true)
     for (let count = 0; count < 40; count++)
       for (const upstream of ['u2', 'u3', 'u4'])
-        task.judge.noteOutcome({ ...TARGET_KEY, upstream }, count % 2 === 0)
+        task.evaluator.recordOutcome({ ...TARGET_KEY, upstream }, count % 2 === 0)
     task.tick()
     expect([admits('v2'), admits('v1')]).to.eql([false, true])
     expect(task.admission('pool', session)('v2')).to.equal(false)
@@ -240,12 +240,12 @@
   it('applies on boxes that receive it, and only to its own order', async () => {
     const { task, session } = await createTrial()
     const admits = task.admission('pool', session)
-    task.takeVerdicts([{ service: 'pool', revision: ORDER.revision - 1 }])
+    task.mergeVerdicts([{ service: 'pool', revision: ORDER.revision - 1 }])
     expect(admits('v2')).to.equal(true)
-    task.takeVerdicts([{ service: 'pool', revision: ORDER.revision }])
+    task.mergeVerdicts([{ service: 'pool', revision: ORDER.revision }])
     expect(admits('v2')).to.equal(false)
-    task.takeOrders([{ ...ORDER, target: 'v2', revision: ORDER.revision + 3 }])
-    task.takeStatuses([{ ...active, startedAt: 0, revision: 20 }])
+    task.applyOrders([{ ...ORDER, target: 'v2', revision: ORDER.revision + 3 }])
+    task.mergeStatuses([{ ...active, startedAt: 0, revision: 20 }])
     expect(task.admission('pool', session)('v2')).to.equal(true)
   })
 })
@@ -264,8 +264,8 @@
     // The store rejects the boxes of rank 0 and 1.
     const task = createTask({ clock, store, rank: () => 2 })
     const active = { service: 'pool', target: 'v2', state: 'active' as const, startedAt: 0 }
-    task.takeStatuses([{ ...active, revision: 6 }])
-    task.noteStoreClock(0, clock.now())
+    task.mergeStatuses([{ ...active, revision: 6 }])
+    task.updateStoreClock(0, clock.now())
     const end = ORDER.duration - 200
     while (clock.now() < end && written.length === 0) {
       await clock.advance(100)
--- a/packages/gateway/test/statementTask.test.ts
+++ b/packages/gateway/test/statementTask.test.ts
@@ -2,66 +2,66 @@
 import { ManualClock, type Milliseconds } from '@yewkeel/decisions'
 import {
   createGatewayMetrics,
-  StatementTask,
-  type AnswerFields,
-  type Statement,
+  AdvertisementTask,
+  type ResponseFields,
+  type Advertisement,
   type Upstream,
 } from '../src/index.js'
 
-const ANSWER: AnswerFields = { isSigned: true, isNotRun: false, isFramed: true, isEncoded: false }
-const REJECTED: AnswerFields = { ...ANSWER, isSigned: false, isNotRun: true, id: 'r1' }
+const ANSWER: ResponseFields = { isSigned: true, isNotRun: false, isFramed: true, isEncoded: false }
+const REJECTED: ResponseFields = { ...ANSWER, isSigned: false, isNotRun: true, id: 'r1' }
 
 function createTask() {
   const clock = new ManualClock()
   const logged: { event: string; unreadable?: readonly string[] }[] = []
-  const broadcast: Statement[] = []
+  const broadcast: Advertisement[] = []
   let pausedAt = -Infinity
   const retired: string[] = []
-  const task: StatementTask = new StatementTask({
+  const task: AdvertisementTask = new AdvertisementTask({
     clock,
-    log: { note: (event, fields) => void logged.push({ event, ...fields }), request() {} },
+    log: { event: (event, fields) => void logged.push({ event, ...fields }), request() {} },
     metrics: createGatewayMetrics(),
     find: run => (run === 'u1' ? upstream : undefined),
     all: () => [upstream],
     pauses: { hasPausedSince: since => pausedAt > since },
-    tell: entries => void broadcast.push(...entries),
+    broadcast: entries => void broadcast.push(...entries),
   })
   const upstream = {
     listed: { id: 'u1', service: 'pool', state: 'ready' },
     run: 'u1',
-    said: task.saidBy('u1'),
-    channels: { retire: () => void retired.push('u1') },
+    advertised: task.stateOf('u1'),
+    connectionPool: { retire: () => void retired.push('u1') },
   } as unknown as Upstream
-  const answer = (status: number, fields: AnswerFields, sentAt: Milliseconds = clock.now()) =>
-    task.take(upstream, { status, headers: [], fields }, sentAt)
+  const answer = (status: number, fields: ResponseFields, sentAt: Milliseconds = clock.now()) =>
+    task.recordAnswer(upstream, { status, headers: [], fields }, sentAt)
   return {
-    ...{ clock, logged, broadcast, task, said: upstream.said, retired, answer },
+    ...{ clock, logged, broadcast, task, advertised: upstream.advertised, retired, answer },
     pause: () => void (pausedAt = clock.now()),
   }
 }
 
-describe('statements of upstreams', () => {
+describe('advertisements of upstreams', () => {
   it('are taken from signed answers and from rejections that echo the request id', () => {
-    const { said, answer, retired } = createTask()
+    const { advertised, answer, retired } = createTask()
     answer(200, { ...ANSWER, limit: 2 })
-    expect(said.limit?.perSecond).to.equal(2)
+    expect(advertised.limit?.perSecond).to.equal(2)
     answer(503, { ...REJECTED, isLeaving: true, limit: 2 })
-    expect(said.isLeaving).to.equal(true)
+    expect(advertised.isLeaving).to.equal(true)
     expect(retired).to.deep.equal(['u1'])
   })
 
   it('are ignored in answers whose sender cannot be verified', () => {
-    const { said, answer, broadcast } = createTask()
-    const statements = { limit: 2, isLeaving: true, retryAfter: 3 }
-    answer(200, { ...ANSWER, isSigned: false, ...statements })
-    answer(503, { ...REJECTED, answeredBy: 'u2', ...statements })
-    answer(421, { ...REJECTED, ...statements })
-    expect([said.limit, said.isLeaving, said.restUntil, broadcast.length]).to.deep.equal([
-      undefined,
-      false,
-      -Infinity,
-      0,
-    ])
+    const { advertised, answer, broadcast } = createTask()
+    const advertisements = { limit: 2, isLeaving: true, retryAfter: 3 }
+    answer(200, { ...ANSWER, isSigned: false, ...advertisements })
+    answer(503, { ...REJECTED, answeredBy: 'u2', ...advertisements })
+    answer(421, { ...REJECTED, ...advertisements })
+    expect([
+      advertised.limit,
+      advertised.isLeaving,
+      advertised.backOffUntil,
+      broadcast.length,
+    ]).to.deep.equal([undefined, false, -Infinity, 0])
   })
 
   it('are broadcast once, and a limit again after an interval while it stands', async () => {
@@ -78,49 +78,49 @@
 
   it('are kept for a run that is not listed yet, and forwarded once', () => {
     const { task } = createTask()
-    const entries: Statement[] = [
+    const entries: Advertisement[] = [
       { run: 'u7', isLeaving: true },
       { run: 'u7', limit: { perSecond: 1, version: 3, turn: 0 } },
     ]
-    expect(task.hear(entries)).to.deep.equal(entries)
-    expect(task.hear(entries)).to.deep.equal([])
-    expect(task.saidBy('u7')).to.deep.include({ isLeaving: true })
+    expect(task.merge(entries)).to.deep.equal(entries)
+    expect(task.merge(entries)).to.deep.equal([])
+    expect(task.stateOf('u7')).to.deep.include({ isLeaving: true })
     expect(task.current()).to.deep.equal([])
   })
 
   it('keep a limit when later headers are unreadable, which is logged once', () => {
-    const { said, answer, logged } = createTask()
+    const { advertised, answer, logged } = createTask()
     answer(200, { ...ANSWER, limit: 2 })
     for (let count = 0; count < 3; count++)
-      answer(200, { ...ANSWER, unreadable: ['server-limit: abc'] })
-    expect(said.limit?.perSecond).to.equal(2)
+      answer(200, { ...ANSWER, malformedHeaders: ['server-limit: abc'] })
+    expect(advertised.limit?.perSecond).to.equal(2)
     expect(logged.filter(({ unreadable }) => unreadable).length).to.equal(1)
   })
 
   it('keep a limit when an answer without one was delayed by a pause of the process', async () => {
-    const { clock, said, answer, pause } = createTask()
+    const { clock, advertised, answer, pause } = createTask()
     answer(200, { ...ANSWER, limit: 2 })
     const sentAt = clock.now()
     await clock.advance(100)
     pause()
     answer(200, ANSWER, sentAt)
-    expect(said.limit?.perSecond).to.equal(2)
+    expect(advertised.limit?.perSecond).to.equal(2)
     answer(200, ANSWER, clock.now())
-    expect(said.limit?.perSecond).to.equal(undefined)
+    expect(advertised.limit?.perSecond).to.equal(undefined)
   })
 
   it('start a back-off on 503 and 429 only, which an answer after its end clears', async () => {
-    const { clock, said, answer } = createTask()
+    const { clock, advertised, answer } = createTask()
     answer(200, { ...ANSWER, retryAfter: 3 })
-    expect(said.restUntil).to.equal(-Infinity)
+    expect(advertised.backOffUntil).to.equal(-Infinity)
     answer(429, { ...REJECTED, retryAfter: 3 })
     answer(503, { ...REJECTED, retryAfter: 0.25 })
     const until = clock.now() + 3_000
-    expect(said.restUntil).to.equal(until)
+    expect(advertised.backOffUntil).to.equal(until)
     answer(200, ANSWER)
-    expect(said.restUntil).to.equal(until)
+    expect(advertised.backOffUntil).to.equal(until)
     await clock.advance(3_001)
     answer(200, ANSWER)
-    expect(said.restUntil).to.equal(-Infinity)
+    expect(advertised.backOffUntil).to.equal(-Infinity)
   })
 })
--- a/packages/gateway/test/storeReader.test.ts
+++ b/packages/gateway/test/storeReader.test.ts
@@ -23,7 +23,7 @@
   } as unknown as Store
   const options = {
     clock,
-    log: { note() {}, request() {} },
+    log: { event() {}, request() {} },
     metrics: createGatewayMetrics(),
     store,
     operators: {
@@ -31,10 +31,10 @@
       get age() {
         return clock.now()
       },
-      prove() {},
+      recordConfirmation() {},
     },
-    upstreams: { version: 1, take: () => false, noteReturn() {}, noteOutage() {} },
-    rollouts: { noteStoreClock() {} },
+    upstreams: { version: 1, apply: () => false, recordRecovery() {}, recordOutage() {} },
+    rollouts: { updateStoreClock() {} },
     isReader: () => false,
     boxCount: () => 7,
     onStoreChange() {},
@@ -44,7 +44,7 @@
   } as unknown as StoreReaderOptions
   const reader = new StoreReader(options)
   clock.after(phase, () => reader.start())
-  reader.proveList(0)
+  reader.confirmList(0)
   return { clock, reads, reader }
 }
 
--- a/packages/gateway/test/suspension.test.ts
+++ b/packages/gateway/test/suspension.test.ts
@@ -6,18 +6,18 @@
   createTestRoute,
   startTestGateway,
   startUpstream,
-  type Behaviour,
+  type UpstreamHandler,
   type StandInUpstream,
   type TestGateway,
 } from './testGateway.js'
 
 // Guards against accepting revoked keys, or exceeding request deadlines, after a suspension. Here
 // the clock advances during it without firing timers, and requests arrive before the first timer.
-const respond: Behaviour = ({ headers }, response) =>
+const respond: UpstreamHandler = ({ headers }, response) =>
   void response
     .writeHead(200, { id: headers.id as string, signed: headers.id as string, 'content-length': 2 })
     .end('ok')
-const neverRespond: Behaviour = () => undefined
+const neverRespond: UpstreamHandler = () => undefined
 
 const organisations = [{ name: 'belle-mare', priority: 0, keys: ['key-1'] }]
 
@@ -28,7 +28,7 @@
   })
 
   async function start(
-    behave: Behaviour,
+    behave: UpstreamHandler,
   ): Promise<{ running: TestGateway; upstream: StandInUpstream }> {
     const upstream = await startUpstream('desk-1', behave)
     const routes = [createTestRoute({ isPublic: false, kind: 'unsafe' })]
--- a/packages/gateway/test/testFleet.ts
+++ b/packages/gateway/test/testFleet.ts
@@ -6,7 +6,7 @@
   type Milliseconds,
   type RolloutStatus,
 } from '@yewkeel/decisions'
-import type { CondemnedEntry, PeerIdentity, PeerListener, PeerTransport } from '@yewkeel/box'
+import type { QuarantineEntry, PeerIdentity, PeerListener, PeerTransport } from '@yewkeel/box'
 import {
   createGateway,
   createGatewayMetrics,
@@ -14,7 +14,7 @@
   type Dialect,
   type Gateway,
   type GatewayMessage,
-  type OpenChannels,
+  type OpenConnectionPool,
   type OperatorState,
   type Store,
   type WriteOutcome,
@@ -28,7 +28,7 @@
   identity: PeerIdentity
   gateway: Gateway
   /** Makes all store calls of this box fail. */
-  isTurnedAway: boolean
+  isStoreUnavailable: boolean
 }
 
 /** Gateways on one manual clock, with a simulated network and store. */
@@ -42,22 +42,22 @@
     upstreams: ListedUpstream[]
     version: number
     entries: Map<string, BoxEntry>
-    condemned: Map<string, CondemnedEntry>
+    condemned: Map<string, QuarantineEntry>
     rollouts: RolloutStatus[]
   }
   /** Number of messages of a type that were sent between boxes. */
-  sent(type: GatewayMessage['type']): number
+  sentCount(type: GatewayMessage['type']): number
   /** Event log entries of all boxes; `at` is the time on the manual clock. */
-  notes: { event: string; at?: Milliseconds }[]
+  eventLog: { event: string; at?: Milliseconds }[]
   /** Request log entries of finished requests, of all boxes. */
-  lines: { request?: string; outcome?: string; status?: number }[]
+  requestLog: { request?: string; outcome?: string; status?: number }[]
   /** Adds boxes and starts them at the same time. */
   add(count: number): FleetBox[]
   /**
    * Partitions these boxes: their messages in both directions are lost and their store calls fail.
    * Each call replaces the previous partition; an empty list heals it.
    */
-  cutOff(boxes: readonly FleetBox[]): void
+  partition(boxes: readonly FleetBox[]): void
   /** Stops boxes without draining and starts each under its name, with the next incarnation. */
   restart(stopped: readonly FleetBox[]): Promise<FleetBox[]>
   stop(): Promise<void>
@@ -81,7 +81,7 @@
   createStore?: (call: StoreCall, clock: ManualClock) => Store
   configuration?: Configuration
   dialect?: Dialect
-  openChannels?: OpenChannels
+  openConnectionPool?: OpenConnectionPool
   /** Whether an address accepts connections. Default: all do. */
   probe?(address: string): Promise<boolean>
   seed?: number
@@ -94,15 +94,15 @@
     createStore,
     configuration = CONFIGURATION,
     dialect,
-    openChannels,
+    openConnectionPool,
     probe = () => Promise.resolve(true),
     seed = 0,
   }: FleetOptions = {},
 ): Fleet {
   const clock = new ManualClock()
   const boxes: FleetBox[] = []
-  const notes: Fleet['notes'] = []
-  const lines: Fleet['lines'] = []
+  const notes: Fleet['eventLog'] = []
+  const lines: Fleet['requestLog'] = []
   const store: Fleet['store'] = {
     isOut: false,
     calls: 0,
@@ -127,7 +127,7 @@
     const call = async <T>(work: () => T): Promise<T> => {
       store.calls++
       await sleep(NETWORK_DELAY)
-      if (store.isOut || box().isTurnedAway)
+      if (store.isOut || box().isStoreUnavailable)
         throw new Error('simulated store outage (store.isOut or isTurnedAway)')
       const value = work()
       await sleep(NETWORK_DELAY)
@@ -149,9 +149,9 @@
       readBoxes: () => call(() => [...store.entries.values()]),
       writeBox: entry => call(() => void store.entries.set(entry.box, entry)),
       removeBoxes: names => call(() => names.forEach(name => store.entries.delete(name))),
-      readCondemned: () => call(() => [...store.condemned.values()]),
-      writeCondemned: entry => call(() => void store.condemned.set(entry.request, entry)),
-      removeCondemned: requests =>
+      readQuarantined: () => call(() => [...store.condemned.values()]),
+      writeQuarantined: entry => call(() => void store.condemned.set(entry.request, entry)),
+      removeQuarantined: requests =>
         call(() => requests.forEach(request => store.condemned.delete(request))),
     }
   }
@@ -175,7 +175,7 @@
     }
     const box: FleetBox = {
       identity,
-      isTurnedAway: false,
+      isStoreUnavailable: false,
       gateway: createGateway({
         settings: {
           box: name,
@@ -196,12 +196,12 @@
         clock,
         random: createSeededRandom(seed * 1_000 + number),
         log: {
-          note: (event, fields) => void notes.push({ event, at: clock.now(), ...fields }),
+          event: (event, fields) => void notes.push({ event, at: clock.now(), ...fields }),
           request: fields => void lines.push(fields),
         },
         metrics: createGatewayMetrics(),
         dialect: dialect ?? ({} as Dialect),
-        ...(openChannels && { openChannels, probe }),
+        ...(openConnectionPool && { openConnectionPool, probe }),
         store: createBoxStore(() => box),
         transport: network.join(identity),
         onConfiguration() {},
@@ -211,9 +211,9 @@
   }
 
   return {
-    sent: type => network.sent.get(type) ?? 0,
-    notes,
-    lines,
+    sentCount: type => network.sent.get(type) ?? 0,
+    eventLog: notes,
+    requestLog: lines,
     clock,
     boxes,
     store,
@@ -223,9 +223,9 @@
       for (const { gateway } of added) gateway.start()
       return added
     },
-    cutOff(partitioned) {
+    partition(partitioned) {
       network.partitioned = new Set(partitioned.map(({ identity }) => identity.box))
-      for (const box of boxes) box.isTurnedAway = partitioned.includes(box)
+      for (const box of boxes) box.isStoreUnavailable = partitioned.includes(box)
     },
     async restart(stopped) {
       for (const { gateway } of stopped) await gateway.stop()
--- a/packages/gateway/test/testGateway.ts
+++ b/packages/gateway/test/testGateway.ts
@@ -40,7 +40,7 @@
     if (fields.lastEventId !== undefined) forwarded.push('last-event-id', fields.lastEventId)
     return forwarded
   },
-  readAnswer(headers) {
+  readResponse(headers) {
     const get = (name: string) => valueOf(headers, name)
     const id = get('id')
     const answeredBy = get('answered-by')
@@ -55,11 +55,11 @@
       isEncoded: false,
     }
   },
-  writeAnswer: headers => {
+  writeResponse: headers => {
     const id = valueOf(headers, 'signed')
     return id === undefined ? [] : ['signed', id]
   },
-  writeRefusal: (id, retryAfter) => [
+  writeRejection: (id, retryAfter) => [
     'id',
     id,
     ...(retryAfter === undefined ? [] : ['retry-after', String(retryAfter / 1_000)]),
@@ -74,7 +74,7 @@
 }
 
 /** How a fake upstream handles a request whose body it has read. */
-export type Behaviour = (request: IncomingMessage, response: ServerResponse) => void
+export type UpstreamHandler = (request: IncomingMessage, response: ServerResponse) => void
 
 /** An HTTP server on loopback that acts as an upstream. */
 export interface StandInUpstream {
@@ -86,7 +86,7 @@
 }
 
 /** Starts a fake upstream of service `desk`; `id` is its process id in the upstream list. */
-export async function startUpstream(id: string, behave: Behaviour): Promise<StandInUpstream> {
+export async function startUpstream(id: string, behave: UpstreamHandler): Promise<StandInUpstream> {
   const requests: IncomingMessage[] = []
   const server = createServer((request, response) => {
     requests.push(request)
@@ -127,9 +127,9 @@
   /** State that later store reads return; reads fail while `isOut` is true. */
   store: { operators: OperatorState; upstreams: ListedUpstream[]; isOut: boolean; version: number }
   /** Request log entries of finished requests. */
-  lines: { outcome?: string; status?: number }[]
+  requestLog: { outcome?: string; status?: number }[]
   /** Advances the clock in steps until the condition holds; throws after `MAX_STEPS`. */
-  until(condition: () => boolean): Promise<void>
+  advanceUntil(condition: () => boolean): Promise<void>
   close(): Promise<void>
 }
 
@@ -194,11 +194,11 @@
     readBoxes: () => Promise.resolve([]),
     writeBox: () => Promise.resolve(),
     removeBoxes: () => Promise.resolve(),
-    readCondemned: () => Promise.resolve([]),
-    writeCondemned: () => Promise.resolve(),
-    removeCondemned: () => Promise.resolve(),
+    readQuarantined: () => Promise.resolve([]),
+    writeQuarantined: () => Promise.resolve(),
+    removeQuarantined: () => Promise.resolve(),
   }
-  const lines: TestGateway['lines'] = []
+  const lines: TestGateway['requestLog'] = []
   const gateway = createGateway({
     settings: {
       box: 'box-1',
@@ -224,7 +224,7 @@
     },
     clock,
     random: createSeededRandom(1),
-    log: { note: () => {}, request: fields => void lines.push(fields) },
+    log: { event: () => {}, request: fields => void lines.push(fields) },
     metrics: createGatewayMetrics(),
     dialect: testDialect,
     store,
@@ -249,8 +249,8 @@
     clock,
     entry,
     store: state,
-    lines,
-    until,
+    requestLog: lines,
+    advanceUntil: until,
     async close() {
       await gateway.stop()
       entry.close()
--- a/packages/gateway/test/upstreamChannels.test.ts
+++ b/packages/gateway/test/upstreamChannels.test.ts
@@ -1,7 +1,11 @@
 import { createServer, type AddressInfo, type Socket } from 'node:net'
 import { ManualClock } from '@yewkeel/decisions'
 import { expect } from 'chai'
-import { UpstreamChannels, type ExchangeListener, type ExchangeRequest } from '../src/index.js'
+import {
+  UpstreamConnectionPool,
+  type ExchangeListener,
+  type ExchangeRequest,
+} from '../src/index.js'
 
 const REQUEST: ExchangeRequest = {
   method: 'POST',
@@ -23,7 +27,7 @@
 }
 
 function sendOne(address: string, onChunk: () => void): Promise<Ending> {
-  const channels = new UpstreamChannels(address, new ManualClock())
+  const channels = new UpstreamConnectionPool(address, new ManualClock())
   return new Promise(resolve => {
     const listener: ExchangeListener = {
       onHead() {},
@@ -62,7 +66,7 @@
     await new Promise(resolve => server.close(resolve))
     const wasSent = await new Promise(resolve => {
       const listener = { onHead() {}, onChunk() {}, onEnd() {} }
-      new UpstreamChannels(address, new ManualClock()).send(REQUEST, {
+      new UpstreamConnectionPool(address, new ManualClock()).send(REQUEST, {
         ...listener,
         onFailure: (_error, sent) => resolve(sent),
       })
@@ -77,7 +81,7 @@
       socket.on('data', () => socket.write('HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'))
       socket.resume()
     })
-    const channels = new UpstreamChannels(address, new ManualClock())
+    const channels = new UpstreamConnectionPool(address, new ManualClock())
     const send = (onNewConnection: boolean) =>
       new Promise<void>(resolve => {
         const listener = { onHead() {}, onChunk() {}, onFailure: () => resolve() }
--- a/packages/proof/src/measures/faults.ts
+++ b/packages/proof/src/measures/faults.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds, TableRow } from '@yewkeel/decisions'
-import { CallerPool, checkPromises } from '../world/callerPool.js'
+import { CallerPool, countViolations } from '../world/callerPool.js'
 import { DEMO_ROWS } from '../world/demoTable.js'
 import { VirtualSystem, type VirtualEngine } from '../world/virtualSystem.js'
 import { quantileOf, RowCollector, type Measure } from './measureRow.js'
@@ -199,8 +199,10 @@
   const seconds = duration / 1_000
   const completions = callers.results.filter(result => result.kind === 'completion')
   const holds = callers.results.filter(result => result.kind === 'hold')
-  const firstTokens = completions.filter(result => result.answered).map(result => result.firstToken)
-  const { billsLost, billsDoubled, callsRunTwice, untrueNotRun, wrongAnswers } = checkPromises(
+  const firstTokens = completions
+    .filter(result => result.answered)
+    .map(result => result.timeToFirstToken)
+  const { billsLost, billsDoubled, callsRunTwice, untrueNotRun, wrongAnswers } = countViolations(
     system,
     callers.results,
   )
@@ -211,7 +213,7 @@
     firstTokenP99: [quantileOf(firstTokens, 0.99), 'ms'],
     holdP50: [
       quantileOf(
-        holds.filter(hold => hold.answered).map(hold => hold.took),
+        holds.filter(hold => hold.answered).map(hold => hold.latency),
         0.5,
       ),
       'ms',
--- a/packages/proof/src/measures/overhead.ts
+++ b/packages/proof/src/measures/overhead.ts
@@ -2,7 +2,7 @@
 import { startStandIns } from '@yewkeel/stand-ins'
 import { createSystemClock, sleep, type Milliseconds } from '@yewkeel/decisions'
 import { DEMO_ROWS } from '../world/demoTable.js'
-import type { LoadFigures } from '../world/loader.js'
+import type { LoadResult } from '../world/loader.js'
 import { residentBytes, startBoxProcess, Worker, type BoxProcess } from '../world/processes.js'
 import { applyRows, settingsInputFor } from '../world/startSystem.js'
 import { meanOf, quantileOf, RowCollector, type Measure } from './measureRow.js'
@@ -24,9 +24,9 @@
  */
 export const measureOverhead: Measure = async ({ seeds, quick }, reportProgress) => {
   const tokenServer = new Worker()
-  const upstream = await tokenServer.ask<string>({ role: 'token-server' })
+  const upstream = await tokenServer.runTask<string>({ role: 'token-server' })
   const proxy = new Worker()
-  const proxyAddress = await proxy.ask<string>({ role: 'forwarder', upstream })
+  const proxyAddress = await proxy.runTask<string>({ role: 'forwarder', upstream })
   const loaders = Array.from({ length: LOADER_COUNT }, () => new Worker())
   const standIns = await startStandIns({ engines: [], services: [] })
   const boxes = await startBoxes(standIns.addresses, upstream)
@@ -43,7 +43,7 @@
     reportProgress(`round ${round + 1}: short answers`)
     const proxyShort = await runShortRequests(loaders, proxyAddress)
     const boxShort = await runShortRequests(loaders, boxAddress)
-    ratios.throughput.push(proxyShort.took / boxShort.took)
+    ratios.throughput.push(proxyShort.duration / boxShort.duration)
     addedFirstByte.short.push(boxShort.firstByteMedian - proxyShort.firstByteMedian)
     reportProgress(`round ${round + 1}: ${OPEN_STREAM_COUNT} open streams`)
     const proxyStreams = await runStreams(loaders, proxyAddress)
@@ -53,7 +53,7 @@
       residentBytesMidStream(boxes[0]!.pid),
     ])
     ratios.tokens.push(
-      boxStreams.tokens / boxStreams.took / (proxyStreams.tokens / proxyStreams.took),
+      boxStreams.tokens / boxStreams.duration / (proxyStreams.tokens / proxyStreams.duration),
     )
     addedFirstByte.long.push(boxStreams.firstByteMedian - proxyStreams.firstByteMedian)
     residentPerStream.push(Math.max(0, residentDuring - residentBefore) / OPEN_STREAM_COUNT)
@@ -121,7 +121,7 @@
   return residentBytes(pid)
 }
 
-function runShortRequests(loaders: Worker[], address: string): Promise<LoadFigures> {
+function runShortRequests(loaders: Worker[], address: string): Promise<LoadResult> {
   return runLoad(loaders, {
     address,
     requests: SHORT_REQUEST_COUNT,
@@ -131,7 +131,7 @@
   })
 }
 
-function runStreams(loaders: Worker[], address: string): Promise<LoadFigures> {
+function runStreams(loaders: Worker[], address: string): Promise<LoadResult> {
   return runLoad(loaders, {
     address,
     requests: OPEN_STREAM_COUNT,
@@ -151,19 +151,19 @@
     tokens: number
     tokenInterval: number
   },
-): Promise<LoadFigures> {
+): Promise<LoadResult> {
   const loadPerWorker = {
     ...load,
     requests: load.requests / loaders.length,
     concurrency: load.concurrency / loaders.length,
   }
   const figures = await Promise.all(
-    loaders.map(loader => loader.ask<LoadFigures>({ role: 'loader', load: loadPerWorker })),
+    loaders.map(loader => loader.runTask<LoadResult>({ role: 'loader', load: loadPerWorker })),
   )
   const failed = figures.reduce((sum, each) => sum + each.failed, 0)
   if (failed > 0) throw new Error(`${failed} requests of the measurement failed`)
   return {
-    took: Math.max(...figures.map(each => each.took)),
+    duration: Math.max(...figures.map(each => each.duration)),
     tokens: figures.reduce((sum, each) => sum + each.tokens, 0),
     failed,
     firstByteMedian: meanOf(figures.map(each => each.firstByteMedian)),
--- a/packages/proof/src/measures/policyCost.ts
+++ b/packages/proof/src/measures/policyCost.ts
@@ -160,7 +160,7 @@
       scheduleRating(request, model, { promised: choice.promised }, simulation)
       return { cost: spent, good: request.good[model]! }
     }
-    const bucket = quality.noteAnswer(kind.name, model, confidence[model]!)
+    const bucket = quality.recordAnswer(kind.name, model, confidence[model]!)
     if (!choice.accepts(stage, confidence[model]!)) continue
     scheduleRating(request, model, { bucket, promised: choice.promised }, simulation)
     return { cost: spent, good: request.good[model]! }
@@ -184,7 +184,7 @@
     model,
     version: '1',
     ...(bucket !== undefined && { bucket }),
-    ...(promised !== undefined && { promised }),
+    ...(promised !== undefined && { predictedQuality: promised }),
   }
-  clock.after(RATING_DELAY_MILLISECONDS, () => quality.noteRating(answer, good[model]!))
+  clock.after(RATING_DELAY_MILLISECONDS, () => quality.recordRating(answer, good[model]!))
 }
--- a/packages/proof/src/measures/policyDecision.ts
+++ b/packages/proof/src/measures/policyDecision.ts
@@ -9,7 +9,7 @@
   createTable,
   createUpstreamView,
   formatVersion,
-  noteReport,
+  recordReport,
   predictFirstToken,
   prefixBlocks,
   PrefixMap,
@@ -116,7 +116,7 @@
       dataCentre: 'dc-1',
       slots: 8,
     })
-    noteReport(view, { at: 0, running: Math.floor(random() * 8), waiting: 0 })
+    recordReport(view, { at: 0, running: Math.floor(random() * 8), waiting: 0 })
     views.set(id, view)
     const version = names[index % names.length]!
     pools.set(version, [...(pools.get(version) ?? []), view])
@@ -160,7 +160,7 @@
     random,
     turn,
   })!
-  prefixes.note(blocks, view.id)
+  prefixes.record(blocks, view.id)
   admit(
     { organisation, priority: 'normal', isCall: false, deadline: now + 30_000 },
     {
--- a/packages/proof/src/measures/policyExposure.ts
+++ b/packages/proof/src/measures/policyExposure.ts
@@ -110,8 +110,8 @@
       INCUMBENT,
       CANDIDATE,
     ]).find(({ version }) => version === CANDIDATE)
-    result.halted ||= judgement?.shownWorse ?? false
-    remainingAnswers = judgement?.room ?? Infinity
+    result.halted ||= judgement?.isWorse ?? false
+    remainingAnswers = judgement?.headroom ?? Infinity
   }
   const serveAnswer = (version: string, kind: string, goodProbability: number) => {
     const good = random() < goodProbability
--- a/packages/proof/src/measures/policyLoad.ts
+++ b/packages/proof/src/measures/policyLoad.ts
@@ -7,11 +7,11 @@
   createUpstreamView,
   hashText,
   ManualClock,
-  noteEnded,
-  noteFirstToken,
-  noteReport,
-  noteSent,
-  noteSuccess,
+  recordEnd,
+  recordFirstToken,
+  recordReport,
+  recordSend,
+  recordSuccess,
   predictFirstToken,
   predictLoad,
   predictQueue,
@@ -19,7 +19,7 @@
   type AdmissionRequest,
   type Milliseconds,
   type Random,
-  type RequestOutlook,
+  type RequestProfile,
   type UpstreamStrategyName,
   type UpstreamView,
 } from '@yewkeel/decisions'
@@ -248,8 +248,10 @@
     const serviceLoads = simulation.services.map(service => service.load)
     clock.after(reportLag, () => {
       for (const box of simulation.boxes) {
-        box.engineViews.forEach((view, index) => noteReport(view, { at, ...loads[index]! }))
-        box.serviceViews.forEach((view, index) => noteReport(view, { at, ...serviceLoads[index]! }))
+        box.engineViews.forEach((view, index) => recordReport(view, { at, ...loads[index]! }))
+        box.serviceViews.forEach((view, index) =>
+          recordReport(view, { at, ...serviceLoads[index]! }),
+        )
       }
     })
     clock.after(REPORT_INTERVAL, report)
@@ -353,9 +355,9 @@
   }
   const sentAt = clock.now()
   const queue = predictQueue(view, sentAt)
-  noteSent(view, sentAt)
+  recordSend(view, sentAt)
   box.uses.add('engines', organisation, share)
-  box.prefixes.note(session.blocks, view.id)
+  box.prefixes.record(session.blocks, view.id)
   let firstTokenAfter = 0
   simulation.engines[box.engineViews.indexOf(view)]!.submit({
     priority: 5,
@@ -364,12 +366,12 @@
     completionTokens,
     onFirstToken() {
       firstTokenAfter = clock.now() - sentAt
-      noteFirstToken(view, firstTokenAfter, queue)
+      recordFirstToken(view, firstTokenAfter, queue)
       if (isCounted) result.firstTokens.push(firstTokenAfter)
     },
     onEnd() {
-      noteEnded(view, clock.now())
-      noteSuccess(view, clock.now() - sentAt)
+      recordEnd(view, clock.now())
+      recordSuccess(view, clock.now() - sentAt)
       box.uses.remove('engines', organisation)
       if (isCounted) result.responseTimes.push(clock.now() - sentAt)
       // Counted by end time: answers begun in the warm-up make up for those that end after the run.
@@ -402,7 +404,7 @@
   const view = chooseAndAdmit(box, 'services', input, clock, random)
   if (!view) return
   const sentAt = clock.now()
-  noteSent(view, sentAt)
+  recordSend(view, sentAt)
   simulation.services[box.serviceViews.indexOf(view)]!.submit({
     priority: 5,
     blocks: [],
@@ -410,8 +412,8 @@
     completionTokens: 1,
     onFirstToken() {},
     onEnd() {
-      noteEnded(view, clock.now())
-      noteSuccess(view, clock.now() - sentAt)
+      recordEnd(view, clock.now())
+      recordSuccess(view, clock.now() - sentAt)
       if (isCounted && isHold && clock.now() - sentAt <= HOLD_LATENCY_OBJECTIVE)
         result.holdsInTime++
     },
@@ -422,7 +424,7 @@
 
 interface RoutingInput {
   affine: UpstreamView[]
-  request: RequestOutlook
+  request: RequestProfile
   admission: AdmissionRequest
   policy: UpstreamStrategyName
 }
