--- a/packages/proof/src/measures/slopes.ts
+++ b/packages/proof/src/measures/slopes.ts
@@ -13,8 +13,8 @@
 import { startStandIns } from '@yewkeel/stand-ins'
 import { Packr } from 'msgpackr'
 import { DEMO_ROWS } from '../world/demoTable.js'
-import type { LoadFigures } from '../world/loader.js'
-import { processorSeconds, residentBytes, Worker, type BoxProcess } from '../world/processes.js'
+import type { LoadResult } from '../world/loader.js'
+import { cpuSeconds, residentBytes, Worker, type BoxProcess } from '../world/processes.js'
 import { applyRows } from '../world/startSystem.js'
 import { VirtualSystem } from '../world/virtualSystem.js'
 import { startBoxes } from './overhead.js'
@@ -75,7 +75,7 @@
     engines: [{ id: 'engine-1', dataCentre: 'dc-1', versions: ['small@1'] }],
     rows: DEMO_ROWS,
   })
-  system.network.measuresBytes = true
+  system.network.countsBytes = true
   await system.start()
   const before = { ...system.table.counts, ...system.network.counts }
   const processor = await processorSecondsDuring(() =>
@@ -221,7 +221,7 @@
 /** Memory and CPU use of a box in its own process, by number of concurrent streams. */
 async function measureStreams(counts: readonly number[], rows: RowCollector): Promise<void> {
   const tokenServer = new Worker()
-  const upstream = await tokenServer.ask<string>({ role: 'token-server' })
+  const upstream = await tokenServer.runTask<string>({ role: 'token-server' })
   const loaders = [new Worker(), new Worker()]
   const standIns = await startStandIns({ engines: [], services: [] })
   const boxes = await startBoxes(standIns.addresses, upstream)
@@ -243,7 +243,7 @@
   count: number,
   rows: RowCollector,
 ): Promise<void> {
-  const processorBefore = processorSeconds(box.pid)
+  const processorBefore = cpuSeconds(box.pid)
   const load = {
     address: box.entryAddress,
     requests: count / loaders.length,
@@ -252,14 +252,14 @@
     tokenInterval: TOKEN_INTERVAL_MILLISECONDS,
   }
   const running = Promise.all(
-    loaders.map(loader => loader.ask<LoadFigures>({ role: 'loader', load })),
+    loaders.map(loader => loader.runTask<LoadResult>({ role: 'loader', load })),
   )
   await sleep(clock, (TOKENS_PER_STREAM * TOKEN_INTERVAL_MILLISECONDS) / 2)
   const resident = residentBytes(box.pid)
   const figures = await running
-  const took = Math.max(...figures.map(each => each.took)) / 1_000
+  const took = Math.max(...figures.map(each => each.duration)) / 1_000
   const tokens = figures.reduce((sum, each) => sum + each.tokens, 0)
-  const processor = processorSeconds(box.pid) - processorBefore
+  const processor = cpuSeconds(box.pid) - processorBefore
   const add = createRowAdder(rows, 'open streams', String(count))
   add('residentBytes', 'bytes', resident)
   add('serveCoreShare', 'share of a core', processor / took)
--- a/packages/proof/src/models/billModel.ts
+++ b/packages/proof/src/models/billModel.ts
@@ -56,7 +56,7 @@
 export function createBillModel(mutation?: BillMutation): Model<BillState, BillAction> {
   return {
     name: 'bills',
-    stands: "ledgerTransition and isProtected are the product's own",
+    scope: "ledgerTransition and isProtected are the product's own",
     initial: () => ({
       ledgers: Object.fromEntries(BOXES.map(box => [box, createLedgerState(box)])),
       crashed: [],
--- a/packages/proof/src/models/claimModel.ts
+++ b/packages/proof/src/models/claimModel.ts
@@ -51,7 +51,7 @@
   })
   return {
     name: 'claims',
-    stands:
+    scope:
       "decideClaim is the product's own; the store's round trips are an abstraction of ClaimTask",
     initial: () => ({
       attempts: Object.fromEntries(ATTEMPTS.map(name => [name, attempt()])),
--- a/packages/proof/src/models/drainModel.ts
+++ b/packages/proof/src/models/drainModel.ts
@@ -1,7 +1,7 @@
 import {
   createDrainState,
   drainTransition,
-  takesNewRequests,
+  acceptsNewRequests,
   type DrainState,
 } from '@yewkeel/decisions'
 import type { Model } from './explore.js'
@@ -36,7 +36,7 @@
 export function createDrainModel(mutation?: DrainMutation): Model<DrainModelState, DrainAction> {
   return {
     name: 'drain',
-    stands: "drainTransition and takesNewRequests are the product's own",
+    scope: "drainTransition and takesNewRequests are the product's own",
     initial: () => ({
       now: 0,
       drain: createDrainState(ADDRESS_TTL),
@@ -113,7 +113,7 @@
 function sendRequest(state: DrainModelState, caller: string, mutation?: DrainMutation): void {
   const { drain, now } = state
   const isAdmitted =
-    mutation === 'refuse at once' ? drain.step === 'serving' : takesNewRequests(drain)
+    mutation === 'refuse at once' ? drain.step === 'serving' : acceptsNewRequests(drain)
   state.requests[caller] = isAdmitted ? 'in flight' : 'refused'
   const isValid = now - state.addressReceivedAt[caller]! < ADDRESS_TTL
   if (!isAdmitted && isValid) state.refusedWithValidAddress = true
--- a/packages/proof/src/models/explore.ts
+++ b/packages/proof/src/models/explore.ts
@@ -10,7 +10,7 @@
 export interface Model<State, Action extends { type: string }> {
   name: string
   /** Which product functions the model calls, or what it abstracts. Printed with the result. */
-  stands: string
+  scope: string
   initial(): State
   /** The actions enabled in `state`, faults included. */
   actions(state: State): Action[]
--- a/packages/proof/src/models/leaseModel.ts
+++ b/packages/proof/src/models/leaseModel.ts
@@ -58,7 +58,7 @@
     mutation === 'lapse before the holder gives up' ? { ...LIMITS, lapseAfter: 0 } : LIMITS
   return {
     name: 'lease and fence',
-    stands: "leaseTransition and heldFence are the product's own",
+    scope: "leaseTransition and heldFence are the product's own",
     initial: () => ({
       now: 0,
       boxes: Object.fromEntries(BOXES.map(box => [box, createLeaseState(box, limits)])),
--- a/packages/proof/src/models/tableModel.ts
+++ b/packages/proof/src/models/tableModel.ts
@@ -2,11 +2,11 @@
   createTable,
   createTableState,
   resolveFreshness,
-  resolveTablesInDoubt,
+  resolvePossibleTables,
   tableTransition,
   type ChangeOutcome,
   type FreshnessLimits,
-  type PeerWord,
+  type PeerReport,
   type Proposal,
   type Table,
   type TableEffect,
@@ -85,8 +85,8 @@
 const CHANGE_ID = 'w'
 
 const LIMITS: FreshnessLimits = Object.freeze({
-  freshFor: MAX_STALENESS,
-  peerWordFor: MAX_STALENESS,
+  maxConfirmationAge: MAX_STALENESS,
+  maxReportAge: MAX_STALENESS,
   // Negative: the store always counts as out, so a majority may confirm a table at any time.
   storeOutAfter: -1,
   settleAfter: 99,
@@ -127,10 +127,10 @@
   faults: TableFault[] = TABLE_FAULTS[0]!,
 ): Model<TableModelState, TableAction> {
   const limits =
-    mutation === 'take words of any age' ? Object.freeze({ ...LIMITS, peerWordFor: 99 }) : LIMITS
+    mutation === 'take words of any age' ? Object.freeze({ ...LIMITS, maxReportAge: 99 }) : LIMITS
   return {
     name: `table in force (${faults.join(', ')})`,
-    stands:
+    scope:
       "tableTransition, resolveFreshness and resolveTablesInDoubt are the product's own; the store is an abstraction",
     initial: () => ({
       now: 0,
@@ -173,7 +173,7 @@
 function servesVersion(box: TableState, now: number, mutation?: TableMutation): boolean {
   if (resolveFreshness(box, now) === 'stale') return false
   const tables =
-    mutation === 'do not honour what may be accepted' ? [box.table] : resolveTablesInDoubt(box)
+    mutation === 'do not honour what may be accepted' ? [box.table] : resolvePossibleTables(box)
   return tables.every(table =>
     [...table.rows.values()].every(row => row.row === 'version' && row.state === 'active'),
   )
@@ -297,12 +297,12 @@
   for (const box of Object.values(state.boxes)) {
     if (box.confirmedAt !== undefined && box.confirmedAt < oldestValid) box.confirmedAt = EXPIRED_AT
     box.storeReadAt = EXPIRED_AT
-    for (const open of box.open.values()) open.heardAt = 0
+    for (const open of box.open.values()) open.receivedAt = 0
     if (box.table.revision === TABLE_AFTER.revision) box.table = TABLE_AFTER
     for (const [peer, heartbeat] of box.peers) {
       const confirmedAt = heartbeat.confirmedAt !== undefined &&
         heartbeat.confirmedAt >= oldestValid && { confirmedAt: heartbeat.confirmedAt }
-      const kept: PeerWord =
+      const kept: PeerReport =
         heartbeat.asOf < oldestValid ? { ...EXPIRED_HEARTBEAT } : { ...heartbeat }
       delete kept.confirmedAt
       box.peers.set(peer, { ...kept, ...confirmedAt })
@@ -310,7 +310,7 @@
   }
 }
 
-const EXPIRED_HEARTBEAT: PeerWord = { asOf: EXPIRED_AT, revision: 0, storeOut: false }
+const EXPIRED_HEARTBEAT: PeerReport = { asOf: EXPIRED_AT, revision: 0, storeOut: false }
 
 function consumeFault(state: TableModelState, fault: TableFault): void {
   state.faultsLeft = state.faultsLeft.filter(other => other !== fault)
--- a/packages/proof/src/node/capacity.ts
+++ b/packages/proof/src/node/capacity.ts
@@ -1,7 +1,7 @@
 /** Regenerates the tables of docs/CAPACITY.md from docs/figures/slopes.json. */
 import { readFileSync, writeFileSync } from 'node:fs'
 import { fileURLToPath } from 'node:url'
-import { fitLine, type Line } from '../measures/fitLine.js'
+import { fitLine, type LinearFit } from '../measures/fitLine.js'
 import type { MeasureRow } from '../measures/measureRow.js'
 
 const ROOT = new URL('../../../../../', import.meta.url)
@@ -58,7 +58,7 @@
 }
 
 /** Fits a line to a metric. Throws with fewer than three points. */
-function fitMetric(group: string, metric: string): Line {
+function fitMetric(group: string, metric: string): LinearFit {
   const points = pointsOf(group, metric)
   if (points.length < 3)
     throw new Error(
@@ -67,8 +67,8 @@
   return fitLine(points)
 }
 
-function valueAt(line: Line, x: number): number {
-  return line.base + line.slope * x
+function valueAt(line: LinearFit, x: number): number {
+  return line.intercept + line.slope * x
 }
 
 function formatSlopeTable(): string {
@@ -80,7 +80,7 @@
       const points = pointsOf(row.workload, row.metric)
         .map(([x, y]) => `${x}: ${formatNumber(y)}`)
         .join('; ')
-      return `| ${row.workload} | ${row.metric} | ${row.unit} | ${points} | ${formatNumber(line.base)} + ${formatNumber(line.slope)} · n |`
+      return `| ${row.workload} | ${row.metric} | ${row.unit} | ${points} | ${formatNumber(line.intercept)} + ${formatNumber(line.slope)} · n |`
     })
   return [
     '| n | metric | unit | measured | line |',
@@ -117,7 +117,7 @@
     },
     {
       role: 'entry and relay of streams: memory',
-      formula: `${formatNumber(resident.base)} + ${formatNumber(resident.slope)} × ${TARGET_SIZE.openStreamsPerBox}`,
+      formula: `${formatNumber(resident.intercept)} + ${formatNumber(resident.slope)} × ${TARGET_SIZE.openStreamsPerBox}`,
       figure: `${formatNumber(valueAt(resident, TARGET_SIZE.openStreamsPerBox) / 1e6)} MB`,
       limit: 'none stated for serving',
       limitShare: '',
@@ -127,7 +127,7 @@
     {
       role: 'control: memory of a box at rest',
       formula: 'resident size with no stream open',
-      figure: `${formatNumber(resident.points > 0 ? pointsOf('open streams', 'residentBytes')[0]![1] / 1e6 : 0)} MB`,
+      figure: `${formatNumber(resident.sampleCount > 0 ? pointsOf('open streams', 'residentBytes')[0]![1] / 1e6 : 0)} MB`,
       limit: '128 MB',
       limitShare: formatPercent(
         pointsOf('open streams', 'residentBytes')[0]![1] / LIMITS.heapBytes,
@@ -141,13 +141,13 @@
 function heartbeatRows(): CapacityRow[] {
   const bytes = fitMetric('boxes', 'controlBytesPerSecond')
   const core = fitMetric('boxes', 'controlCoreShare')
-  const maxBoxes = Math.floor((LIMITS.bytesPerSecond - bytes.base) / bytes.slope)
+  const maxBoxes = Math.floor((LIMITS.bytesPerSecond - bytes.intercept) / bytes.slope)
   const boxesPerDataCentre = TARGET_SIZE.boxes / 15
   const linksWithRelays = boxesPerDataCentre + 14 * 2
   return [
     {
       role: 'membership, load map, allowances: bytes, each box linked to each',
-      formula: `${formatNumber(bytes.base)} + ${formatNumber(bytes.slope)} × ${TARGET_SIZE.boxes}`,
+      formula: `${formatNumber(bytes.intercept)} + ${formatNumber(bytes.slope)} × ${TARGET_SIZE.boxes}`,
       figure: `${formatNumber(valueAt(bytes, TARGET_SIZE.boxes) / 1e3)} KB/s`,
       limit: '29 KB/s',
       limitShare: formatPercent(valueAt(bytes, TARGET_SIZE.boxes) / LIMITS.bytesPerSecond),
@@ -156,7 +156,7 @@
     },
     {
       role: 'the same, with links inside a data centre and two relays between them (not built)',
-      formula: `${formatNumber(bytes.base)} + ${formatNumber(bytes.slope)} × (${formatNumber(boxesPerDataCentre)} + 14 × 2)`,
+      formula: `${formatNumber(bytes.intercept)} + ${formatNumber(bytes.slope)} × (${formatNumber(boxesPerDataCentre)} + 14 × 2)`,
       figure: `${formatNumber(valueAt(bytes, linksWithRelays) / 1e3)} KB/s`,
       limit: '29 KB/s',
       limitShare: formatPercent(valueAt(bytes, linksWithRelays) / LIMITS.bytesPerSecond),
@@ -165,7 +165,7 @@
     },
     {
       role: 'membership: processor',
-      formula: `${formatNumber(core.base)} + ${formatNumber(core.slope)} × ${formatNumber(linksWithRelays)}`,
+      formula: `${formatNumber(core.intercept)} + ${formatNumber(core.slope)} × ${formatNumber(linksWithRelays)}`,
       figure: `${formatPercent(valueAt(core, linksWithRelays))} of a core`,
       limit: '3.7 %',
       limitShare: formatPercent(valueAt(core, linksWithRelays) / LIMITS.coreShare),
@@ -268,7 +268,7 @@
   return [
     {
       role: 'load map: each box asks each upstream',
-      formula: `${formatNumber(probing.base)} + ${formatNumber(probing.slope)} × ${TARGET_SIZE.upstreams}`,
+      formula: `${formatNumber(probing.intercept)} + ${formatNumber(probing.slope)} × ${TARGET_SIZE.upstreams}`,
       figure: `${formatPercent(valueAt(probing, TARGET_SIZE.upstreams))} of a core`,
       limit: '3.7 %',
       limitShare: formatPercent(valueAt(probing, TARGET_SIZE.upstreams) / LIMITS.coreShare),
@@ -277,7 +277,7 @@
     },
     {
       role: 'load map: each upstream asked by two boxes of a data centre, told on by heartbeats (not built)',
-      formula: `${formatNumber(probing.base)} + ${formatNumber(probing.slope)} × ${formatNumber(probedUpstreams)}`,
+      formula: `${formatNumber(probing.intercept)} + ${formatNumber(probing.slope)} × ${formatNumber(probedUpstreams)}`,
       figure: `${formatPercent(valueAt(probing, probedUpstreams))} of a core`,
       limit: '3.7 %',
       limitShare: formatPercent(valueAt(probing, probedUpstreams) / LIMITS.coreShare),
--- a/packages/proof/src/node/modelCheck.ts
+++ b/packages/proof/src/node/modelCheck.ts
@@ -114,7 +114,7 @@
 
 function printResult(model: AnyModel, { states, depth, violation }: Exploration): void {
   console.log(`${model.name}: ${states} states, depth ${depth}`)
-  console.log(`  ${model.stands}`)
+  console.log(`  ${model.scope}`)
   for (const invariant of Object.keys(model.invariants)) {
     console.log(`  ${violation?.invariant === invariant ? 'BROKEN' : 'holds '}  ${invariant}`)
   }
--- a/packages/proof/src/world/callerPool.ts
+++ b/packages/proof/src/world/callerPool.ts
@@ -1,7 +1,12 @@
 import { resolveBillId } from '@yewkeel/box'
 import { BILL_PREFIX, sleep, type Milliseconds } from '@yewkeel/decisions'
-import { answerWords } from '@yewkeel/stand-ins'
-import { keyOf, ORGANISATIONS, type CallerAnswer, type VirtualSystem } from './virtualSystem.js'
+import { expectedTokens } from '@yewkeel/stand-ins'
+import {
+  callerKeyOf,
+  ORGANISATIONS,
+  type CallerAnswer,
+  type VirtualSystem,
+} from './virtualSystem.js'
 
 type RequestKind = 'completion' | 'hold'
 
@@ -15,9 +20,9 @@
   isCorrect: boolean
   attempts: number
   /** Time to the first byte of the answer, retries included; 0 if unanswered. */
-  firstToken: Milliseconds
+  timeToFirstToken: Milliseconds
   /** Time to the end of the answer, retries included; 0 if unanswered. */
-  took: Milliseconds
+  latency: Milliseconds
   /** `yewkeel-verdict` headers of failed attempts, with the time of receipt. */
   verdicts: { verdict: string; at: Milliseconds }[]
   /** Bill ids of the attempts; the id of an answered attempt is last. */
@@ -66,8 +71,8 @@
       answered: false,
       isCorrect: true,
       attempts: 0,
-      firstToken: 0,
-      took: 0,
+      timeToFirstToken: 0,
+      latency: 0,
       verdicts: [],
       billIds: [],
       ...(isKeyed && { key: `ask-${number}` }),
@@ -87,9 +92,9 @@
     const box = boxes[(result.attempts - 1) % Math.max(1, boxes.length)]
     if (box === undefined) return false
     const prompt = `question ${number}`
-    const answer = await this.system.ask(box, {
+    const answer = await this.system.sendRequest(box, {
       path: result.kind === 'hold' ? HOLDS_PATH : COMPLETIONS_PATH,
-      patience: ATTEMPT_TIMEOUT,
+      timeout: ATTEMPT_TIMEOUT,
       headers: this.#headersOf(result),
       body: result.kind === 'hold' ? `{"pitch":${number}}` : completionBody(prompt),
     })
@@ -99,9 +104,9 @@
       result.answered = true
       result.isCorrect =
         result.kind === 'hold' ||
-        contentOf(answer.body) === answerWords(prompt, ANSWER_TOKENS).join('')
-      result.took = clock.now() - result.startedAt
-      result.firstToken = result.took - answer.duration + answer.timeToFirstByte
+        contentOf(answer.body) === expectedTokens(prompt, ANSWER_TOKENS).join('')
+      result.latency = clock.now() - result.startedAt
+      result.timeToFirstToken = result.latency - answer.duration + answer.timeToFirstByte
       return true
     }
     const verdict = answer.headers['yewkeel-verdict']
@@ -111,7 +116,7 @@
 
   #headersOf(result: CallerResult): Record<string, string> {
     return {
-      authorization: `Bearer ${keyOf(result.organisation)}`,
+      authorization: `Bearer ${callerKeyOf(result.organisation)}`,
       'yewkeel-attempt': String(result.attempts),
       ...(result.key && { 'idempotency-key': result.key }),
     }
@@ -130,10 +135,10 @@
     const cached = this.#addressCache.get(caller)
     if (cached && clock.now() < cached.until) return cached.boxes
     const first = Math.floor(random() * boxes.length)
-    const answer = await this.system.ask(first, {
+    const answer = await this.system.sendRequest(first, {
       method: 'GET',
       path: '/v1/where',
-      patience: 500,
+      timeout: 500,
       headers: { 'yewkeel-caller': caller },
     })
     if (answer.broken || answer.status !== 200) return cached?.boxes ?? [first]
@@ -187,7 +192,7 @@
  * Checks results against the bills in the store and the calls that the services ran. The run must
  * have ended, with all bills flushed.
  */
-export function checkPromises(
+export function countViolations(
   system: VirtualSystem,
   results: readonly CallerResult[],
 ): GuaranteeViolations {
--- a/packages/proof/src/world/loader.ts
+++ b/packages/proof/src/world/loader.ts
@@ -16,8 +16,8 @@
 }
 
 /** Result of a load. */
-export interface LoadFigures {
-  took: Milliseconds
+export interface LoadResult {
+  duration: Milliseconds
   /** Received server-sent events, or chunks of answers that are not streamed. */
   tokens: number
   /** Answers with a status other than 200. */
@@ -26,10 +26,10 @@
 }
 
 /** Sends the requests, `concurrency` at a time, and resolves when all are answered. */
-export async function runLoader(options: LoadOptions): Promise<LoadFigures> {
+export async function runLoader(options: LoadOptions): Promise<LoadResult> {
   const dispatcher = new Agent({ connections: options.concurrency, pipelining: 1 })
   const firstBytes: Milliseconds[] = []
-  const figures: LoadFigures = { took: 0, tokens: 0, failed: 0, firstByteMedian: 0 }
+  const figures: LoadResult = { duration: 0, tokens: 0, failed: 0, firstByteMedian: 0 }
   const startedAt = clock.now()
   let remaining = options.requests
   const sendRequests = async () => {
@@ -54,7 +54,7 @@
     }
   }
   await Promise.all(Array.from({ length: options.concurrency }, sendRequests))
-  figures.took = clock.now() - startedAt
+  figures.duration = clock.now() - startedAt
   firstBytes.sort((left, right) => left - right)
   figures.firstByteMedian = firstBytes[Math.floor(firstBytes.length / 2)] ?? 0
   await dispatcher.close()
--- a/packages/proof/src/world/memoryNetwork.ts
+++ b/packages/proof/src/world/memoryNetwork.ts
@@ -28,9 +28,9 @@
 /** In-memory network between boxes: ordered delivery, latency, and partitions by `isLinked`. */
 export class MemoryNetwork {
   readonly #members = new Map<string, Member>()
-  /** Messages between boxes, and their packed bytes if `measuresBytes` is set. */
+  /** Messages between boxes, and their packed bytes if `countsBytes` is set. */
   readonly counts = { messages: 0, bytes: 0 }
-  measuresBytes = false
+  countsBytes = false
   readonly #packer = new Packr({ structuredClone: false })
   /** Whether two boxes, by name, can reach each other. Replace it to partition the network. */
   isLinked: (left: string, right: string) => boolean = () => true
@@ -98,7 +98,7 @@
       return false
     }
     this.counts.messages++
-    if (this.measuresBytes) this.counts.bytes += this.#packer.pack([message]).length
+    if (this.countsBytes) this.counts.bytes += this.#packer.pack([message]).length
     const copy = structuredClone(message)
     this.clock.after(this.#latency(member, other), () => {
       if (!other.dead)
@@ -120,7 +120,7 @@
   boxClock: PausableClock,
 ): UpstreamClient {
   return {
-    async send(address, request, { signal, answerWithin } = {}) {
+    async send(address, request, { signal, responseTimeout } = {}) {
       // Waits while the box is paused; a killed box stays paused.
       await boxClock.whenResumed()
       const handler = network.handlers.get(address)
@@ -128,7 +128,7 @@
       const pendingAnswer = callHandler(network, handler, request, signal)
       const waits: Promise<UpstreamAnswer>[] = [pendingAnswer]
       if (signal) waits.push(rejectOnAbort(signal))
-      if (answerWithin !== undefined) waits.push(rejectAfter(network.clock, answerWithin))
+      if (responseTimeout !== undefined) waits.push(rejectAfter(network.clock, responseTimeout))
       const answer = await Promise.race(waits)
       await boxClock.whenResumed()
       return { ...answer, body: readBody(answer.body, boxClock) }
--- a/packages/proof/src/world/processes.ts
+++ b/packages/proof/src/world/processes.ts
@@ -21,7 +21,7 @@
 export class Worker {
   readonly #child: ChildProcess = fork(WORKER_SCRIPT, { stdio: 'inherit' })
 
-  ask<T>(task: WorkerTask): Promise<T> {
+  runTask<T>(task: WorkerTask): Promise<T> {
     return new Promise(resolve => {
       this.#child.once('message', answer => resolve(answer as T))
       this.#child.send(task)
@@ -103,7 +103,7 @@
 const TICKS_PER_SECOND = 100 // USER_HZ of Linux
 
 /** User and system CPU seconds of a process, from `/proc` (Linux). */
-export function processorSeconds(pid: number): number {
+export function cpuSeconds(pid: number): number {
   const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]!.split(' ')
   return (Number(fields[11]) + Number(fields[12])) / TICKS_PER_SECOND
 }
--- a/packages/proof/src/world/virtualSystem.ts
+++ b/packages/proof/src/world/virtualSystem.ts
@@ -27,7 +27,7 @@
   RatingService,
   WeightStore,
   type EngineOptions,
-  type ListedBox,
+  type ListedMachine,
   type StandInHandler,
 } from '@yewkeel/stand-ins'
 import { createMemoryClient, MemoryNetwork } from './memoryNetwork.js'
@@ -71,7 +71,7 @@
   headers?: Record<string, string>
   body?: string
   /** The caller closes the connection after this time. */
-  patience?: Milliseconds
+  timeout?: Milliseconds
 }
 
 /** A box of a virtual system, with its fault injection. */
@@ -89,7 +89,7 @@
 export const ORGANISATIONS = ['belle-mare', 'le-morne', 'tamarin', 'flic-en-flac']
 
 /** API key of an organisation's callers. */
-export function keyOf(organisation: string): string {
+export function callerKeyOf(organisation: string): string {
   return `key-of-${organisation}`
 }
 
@@ -105,7 +105,7 @@
   readonly services = new Map<string, PlainService>()
   readonly boxes: VirtualBox[] = []
   readonly #handlers = new Map<string, StandInHandler>()
-  readonly #upstreams: ListedBox[] = []
+  readonly #upstreams: ListedMachine[] = []
   #incarnations = 0
 
   constructor(readonly options: VirtualSystemOptions) {
@@ -137,7 +137,7 @@
   async start(): Promise<void> {
     for (let index = 0; index < this.options.boxCount; index++) this.addBox(index)
     this.#publishBoxList()
-    this.boxList.settle()
+    this.boxList.publishNow()
     this.boxes.forEach(({ box }) => void box.start())
     await this.clock.advance(6_000)
     const outcome = this.submit(0, this.options.rows, 'first')
@@ -235,7 +235,7 @@
   }
 
   /** Sends a caller's request to a box. Resolves also when the connection breaks. */
-  ask(index: number, options: CallerRequestOptions): Promise<CallerAnswer> {
+  sendRequest(index: number, options: CallerRequestOptions): Promise<CallerAnswer> {
     const target = this.boxes[index]!
     const startedAt = this.clock.now()
     const answer: CallerAnswer = {
@@ -259,7 +259,7 @@
       }
       const disconnect = () => finish(true)
       target.disconnectCallbacks.add(disconnect)
-      if (options.patience !== undefined) this.clock.after(options.patience, disconnect)
+      if (options.timeout !== undefined) this.clock.after(options.timeout, disconnect)
       const append = (chunk: Uint8Array | string) => {
         if (isDone || target.dead) return
         if (answer.body === '') answer.timeToFirstByte = this.clock.now() - startedAt
@@ -299,7 +299,7 @@
         secret: 'shared-by-the-boxes-of-a-test',
       },
       platform: { table: '127.0.0.1:1' },
-      organisations: ORGANISATIONS.map(name => ({ name, keys: [hashKey(keyOf(name))] })),
+      organisations: ORGANISATIONS.map(name => ({ name, keys: [hashKey(callerKeyOf(name))] })),
       sessionKeys: [{ id: 'first', secret: 'signs-the-sessions-of-a-test' }],
       addressLifetimeMilliseconds: 2_000,
       ...this.options.settings,
@@ -309,7 +309,7 @@
   #addUpstream(
     name: string,
     handler: StandInHandler,
-    listed: Omit<ListedBox, 'name' | 'address' | 'state'>,
+    listed: Omit<ListedMachine, 'name' | 'address' | 'state'>,
   ): void {
     this.#handlers.set(name, handler)
     this.#upstreams.push({ name, address: name, state: 'live', ...listed })
@@ -320,7 +320,7 @@
   }
 
   #publishBoxList(): void {
-    const entries = this.boxes.map(({ name, dataCentre }): ListedBox => ({
+    const entries = this.boxes.map(({ name, dataCentre }): ListedMachine => ({
       name,
       role: 'entry',
       address: `${name}:peers`,
--- a/packages/proof/test/crashingRequest.test.ts
+++ b/packages/proof/test/crashingRequest.test.ts
@@ -1,7 +1,7 @@
 import { sleep, type Milliseconds } from '@yewkeel/decisions'
 import { expect } from 'chai'
 import { DEMO_ROWS } from '../src/world/demoTable.js'
-import { keyOf, VirtualSystem } from '../src/world/virtualSystem.js'
+import { callerKeyOf, VirtualSystem } from '../src/world/virtualSystem.js'
 
 const ENGINES = ['engine-1', 'engine-2', 'engine-3', 'engine-4', 'engine-5', 'engine-6']
 const RESTART_DELAY: Milliseconds = 2_500
@@ -12,7 +12,7 @@
 
 const completion = (content: string, stream: boolean) => ({
   path: '/v1/chat/completions',
-  headers: { authorization: `Bearer ${keyOf('belle-mare')}` },
+  headers: { authorization: `Bearer ${callerKeyOf('belle-mare')}` },
   body: JSON.stringify({
     model: 'small',
     max_tokens: 4,
@@ -51,7 +51,9 @@
   const harmlessStatuses: number[] = []
   const sendToAllBoxes = (content: string, statuses: number[]) => {
     for (const box of [0, 1, 2])
-      void system.ask(box, completion(content, stream)).then(({ status }) => statuses.push(status))
+      void system
+        .sendRequest(box, completion(content, stream))
+        .then(({ status }) => statuses.push(status))
   }
   for (let round = 0; round < 25; round++) {
     sendToAllBoxes('killer', killerStatuses)
--- a/packages/proof/test/faultTable.test.ts
+++ b/packages/proof/test/faultTable.test.ts
@@ -3,7 +3,7 @@
 import { resolveBillId } from '@yewkeel/box'
 import { DEMO_ROWS } from '../src/world/demoTable.js'
 import {
-  keyOf,
+  callerKeyOf,
   VirtualSystem,
   type CallerAnswer,
   type VirtualSystemOptions,
@@ -12,7 +12,7 @@
 const ORGANISATION = 'belle-mare'
 const HOLDS = '/v1/services/booking/holds'
 const COMPLETIONS = '/v1/chat/completions'
-const headers = { authorization: `Bearer ${keyOf(ORGANISATION)}` }
+const headers = { authorization: `Bearer ${callerKeyOf(ORGANISATION)}` }
 
 async function startSystem(overrides: Partial<VirtualSystemOptions> = {}): Promise<VirtualSystem> {
   const system = new VirtualSystem({
@@ -32,11 +32,11 @@
 }
 
 function hold(system: VirtualSystem, box: number, key: string, attempt = 1) {
-  return system.ask(box, {
+  return system.sendRequest(box, {
     path: HOLDS,
     headers: { ...headers, 'idempotency-key': key, 'yewkeel-attempt': String(attempt) },
     body: '{"pitch":1}',
-    patience: 30_000,
+    timeout: 30_000,
   })
 }
 
@@ -46,7 +46,7 @@
   options: { stream?: boolean; session?: string; model?: string } = {},
 ) {
   const { stream = false, session, model = 'small' } = options
-  return system.ask(box, {
+  return system.sendRequest(box, {
     path: COMPLETIONS,
     headers: { ...headers, ...(session && { 'yewkeel-session': session }) },
     body: JSON.stringify({
@@ -55,7 +55,7 @@
       max_tokens: 12,
       messages: [{ role: 'user', content: 'high water?' }],
     }),
-    patience: 30_000,
+    timeout: 30_000,
   })
 }
 
@@ -192,7 +192,7 @@
     const first = hold(system, 0, 'k')
     await advance(system, 2_000)
     await first
-    const other = system.ask(1, {
+    const other = system.sendRequest(1, {
       path: HOLDS,
       headers: { ...headers, 'idempotency-key': 'k' },
       body: '{"pitch":2}',
@@ -441,7 +441,7 @@
     system.kill(0)
     const { headers: responseHeaders, body } = await answer
     const last = [...body.matchAll(/^id: (\d+)$/gm)].at(-1)![1]!
-    const rest = system.ask(1, {
+    const rest = system.sendRequest(1, {
       method: 'GET',
       path: `/v1/streams/${encodeURIComponent(responseHeaders['x-request-id']!)}`,
       headers: { ...headers, 'last-event-id': last },
@@ -461,10 +461,10 @@
     await system.clock.advance(150)
     system.kill(0)
     const { headers: responseHeaders } = await answer
-    const rest = system.ask(1, {
+    const rest = system.sendRequest(1, {
       method: 'GET',
       path: `/v1/streams/${encodeURIComponent(responseHeaders['x-request-id']!)}`,
-      headers: { authorization: `Bearer ${keyOf('le-morne')}` },
+      headers: { authorization: `Bearer ${callerKeyOf('le-morne')}` },
     })
     await system.clock.advance(3_000)
     expect((await rest).status).to.equal(404)
--- a/packages/proof/test/histories.test.ts
+++ b/packages/proof/test/histories.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { CallerPool, checkPromises } from '../src/world/callerPool.js'
+import { CallerPool, countViolations } from '../src/world/callerPool.js'
 import { DEMO_ROWS } from '../src/world/demoTable.js'
 import { VirtualSystem } from '../src/world/virtualSystem.js'
 
@@ -93,7 +93,7 @@
         fc.array(faultEvent, { minLength: 3, maxLength: 12 }),
         async (seed, events) => {
           const { system, callers } = await runEvents(seed, events)
-          expect(checkPromises(system, callers.results)).to.deep.equal({
+          expect(countViolations(system, callers.results)).to.deep.equal({
             billsLost: 0,
             billsDoubled: 0,
             callsRunTwice: 0,
--- a/packages/proof/test/models.test.ts
+++ b/packages/proof/test/models.test.ts
@@ -6,7 +6,7 @@
 describe('explore', () => {
   const counting = (limit: number) => ({
     name: 'counting',
-    stands: 'a test',
+    scope: 'a test',
     initial: () => ({ count: 0, seen: new Set<number>() }),
     actions: (state: { count: number }) =>
       state.count < 5 ? [{ type: 'one' }, { type: 'two' }] : [],
--- a/packages/proof/test/restingUpstream.test.ts
+++ b/packages/proof/test/restingUpstream.test.ts
@@ -1,8 +1,8 @@
 import type { Milliseconds } from '@yewkeel/decisions'
-import { answerJson } from '@yewkeel/stand-ins'
+import { jsonResponse } from '@yewkeel/stand-ins'
 import { expect } from 'chai'
 import { DEMO_ROWS } from '../src/world/demoTable.js'
-import { keyOf, VirtualSystem } from '../src/world/virtualSystem.js'
+import { callerKeyOf, VirtualSystem } from '../src/world/virtualSystem.js'
 
 const ENGINES = ['engine-1', 'engine-2', 'engine-3', 'engine-4', 'engine-5', 'engine-6']
 const OVERLOADED_ENGINES = ['engine-1', 'engine-2']
@@ -17,7 +17,7 @@
 
 const completion = {
   path: '/v1/chat/completions',
-  headers: { authorization: `Bearer ${keyOf('belle-mare')}` },
+  headers: { authorization: `Bearer ${callerKeyOf('belle-mare')}` },
   body: JSON.stringify({
     model: 'small',
     max_tokens: 4,
@@ -47,7 +47,7 @@
           return engine(request)
         }
         rejected++
-        const answer = answerJson(503, 'rest')
+        const answer = jsonResponse(503, 'rest')
         return { ...answer, headers: { 'retry-after': String(RETRY_AFTER / 1_000) } }
       }
       system.setHandler(name, overloadable)
@@ -56,7 +56,7 @@
     const sendRounds = async (rounds: number) => {
       for (let round = 0; round < rounds; round++) {
         for (let box = 0; box < BOXES; box++)
-          void system.ask(box, completion).then(({ status }) => statuses.push(status))
+          void system.sendRequest(box, completion).then(({ status }) => statuses.push(status))
         await system.clock.advance(ROUND_INTERVAL)
       }
     }
--- a/packages/proof/test/retryBudget.test.ts
+++ b/packages/proof/test/retryBudget.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 import { DEMO_ROWS } from '../src/world/demoTable.js'
-import { keyOf, VirtualSystem } from '../src/world/virtualSystem.js'
+import { callerKeyOf, VirtualSystem } from '../src/world/virtualSystem.js'
 
 const REQUESTS = 40
 /** Retries that a new budget allows before any request has succeeded. */
@@ -30,9 +30,9 @@
       messages: [{ role: 'user', content: 'high water?' }],
     }
     const answers = Array.from({ length: REQUESTS }, () =>
-      system.ask(0, {
+      system.sendRequest(0, {
         path: '/v1/chat/completions',
-        headers: { authorization: `Bearer ${keyOf('belle-mare')}` },
+        headers: { authorization: `Bearer ${callerKeyOf('belle-mare')}` },
         body: JSON.stringify(body),
       }),
     )
--- a/packages/soak/src/checks/evidence.ts
+++ b/packages/soak/src/checks/evidence.ts
@@ -1,4 +1,4 @@
-import type { UpstreamWords } from '@yewkeel/platform/stand-ins'
+import type { UpstreamAdvertisement } from '@yewkeel/platform/stand-ins'
 import type { Attempt, Execution, FaultSpan, Milliseconds } from './seen.js'
 
 /** An API key that operators revoked. `revokedAt`: when the store accepted the change. */
@@ -30,20 +30,20 @@
   at: Milliseconds
 }
 
-/** An upstream sends this statement (limit, back-off or drain) with all its answers. */
-export interface StatementSpan {
+/** An upstream advertises this (limit, back-off or drain) with all its answers. */
+export interface AdvertisementSpan {
   instance: string
-  content: UpstreamWords
+  content: UpstreamAdvertisement
   from: Milliseconds
   until: Milliseconds
 }
 
-/** An answer of an upstream that carried a statement. */
-export interface StatementAnswer {
+/** An answer of an upstream that carried an advertisement. */
+export interface AdvertisingAnswer {
   instance: string
   /** The answered attempt's. */
   id: string
-  content: UpstreamWords
+  content: UpstreamAdvertisement
   at: Milliseconds
 }
 
@@ -71,8 +71,8 @@
   readonly routeMoves: RouteMove[] = []
   readonly drains: Drain[] = []
   readonly faults: FaultSpan[] = []
-  readonly statementSpans: StatementSpan[] = []
-  readonly statementAnswers: StatementAnswer[] = []
+  readonly advertisementSpans: AdvertisementSpan[] = []
+  readonly advertisingAnswers: AdvertisingAnswer[] = []
   /** Attempts that crash every upstream that executes them. */
   readonly poisonRequests = {
     /** The box that each was sent to, by attempt id. */
--- a/packages/soak/src/checks/promises.ts
+++ b/packages/soak/src/checks/promises.ts
@@ -1,5 +1,5 @@
 import {
-  isCondemned,
+  isQuarantined,
   STREAM_EVENTS,
   ROUTE_TIMEOUT_MS,
   type DeploymentBounds,
@@ -12,7 +12,7 @@
 } from './allowances.js'
 import type { Arrival, Evidence, ObservedRollout } from './evidence.js'
 import type { Attempt, GuaranteeName, Milliseconds, Violation } from './seen.js'
-import { STATEMENT_CHECKS } from './statementChecks.js'
+import { ADVERTISEMENT_CHECKS } from './statementChecks.js'
 
 /** How long after its deadline an attempt must have ended. */
 const MAX_ANSWER_DELAY: Milliseconds = 1_500
@@ -217,11 +217,11 @@
       : []
   },
 
-  ...STATEMENT_CHECKS,
+  ...ADVERTISEMENT_CHECKS,
 
   'condemned-nobody': evidence =>
     attemptsOf(evidence)
-      .filter(({ end }) => end !== undefined && isCondemned(end.status, end.body))
+      .filter(({ end }) => end !== undefined && isQuarantined(end.status, end.body))
       .map(({ id, kind }) => `${kind} ${id} was held to crash upstreams`),
 }
 
--- a/packages/soak/src/checks/seen.ts
+++ b/packages/soak/src/checks/seen.ts
@@ -90,5 +90,5 @@
   | 'rest'
   /** An upstream whose answers say that it drains gets no new requests. */
   | 'leaving'
-  /** An upstream gets requests again after its statement has ended. */
+  /** An upstream gets requests again after its advertisement has ended. */
   | 'used-again'
--- a/packages/soak/src/checks/statementChecks.ts
+++ b/packages/soak/src/checks/statementChecks.ts
@@ -9,7 +9,7 @@
 
 /** Time for a limit to reach all boxes after the first answer that states it. */
 const LIMIT_PROPAGATION_DELAY: Milliseconds = 3_000
-/** Time for a box to apply a statement after it received the answer. */
+/** Time for a box to apply an advertisement after it received the answer. */
 const STATEMENT_DELAY: Milliseconds = 500
 const LIMIT_WINDOW: Milliseconds = 4_000
 const LIMIT_TOLERANCE_FACTOR = 1.5
@@ -21,18 +21,18 @@
 /** Requests to a service after which each of its upstreams must have received one. */
 const MIN_SERVICE_ARRIVALS = 40
 
-type StatementField = 'limit' | 'isLeaving'
+type AdvertisedField = 'limit' | 'isLeaving'
 
-const instancesStating = ({ statementAnswers }: Evidence, field: StatementField) => [
+const instancesAdvertising = ({ advertisingAnswers }: Evidence, field: AdvertisedField) => [
   ...new Set(
-    statementAnswers.filter(({ content }) => content[field]).map(({ instance }) => instance),
+    advertisingAnswers.filter(({ content }) => content[field]).map(({ instance }) => instance),
   ),
 ]
 
-/** When each box first received this statement from each upstream, by `<box> <instance>`. */
-function firstReceivedAt(evidence: Evidence, field: StatementField): Map<string, Milliseconds> {
+/** When each box first received this advertisement from each upstream, by `<box> <instance>`. */
+function firstReceivedAt(evidence: Evidence, field: AdvertisedField): Map<string, Milliseconds> {
   const received = new Map<string, Milliseconds>()
-  for (const { instance, id, content, at } of evidence.statementAnswers) {
+  for (const { instance, id, content, at } of evidence.advertisingAnswers) {
     const key = `${evidence.boxOf(id)} ${instance}`
     if (content[field] && !received.has(key)) received.set(key, at)
   }
@@ -42,7 +42,7 @@
 /** Requests that count against an upstream's limit: from fault-free boxes that had received it. */
 function limitedArrivals(evidence: Evidence, instance: string): Arrival[] {
   const received = firstReceivedAt(evidence, 'limit')
-  const answers = evidence.statementAnswers.filter(
+  const answers = evidence.advertisingAnswers.filter(
     answer => answer.instance === instance && answer.content.limit,
   )
   const enforcedFrom = (answers[0]?.at ?? Infinity) + LIMIT_PROPAGATION_DELAY
@@ -62,27 +62,29 @@
  * at some time.
  */
 function allowedRequests(
-  { statementSpans }: Evidence,
+  { advertisementSpans }: Evidence,
   instance: string,
   from: Milliseconds,
 ): number {
   const step = 100
   let allowed = 0
   for (let at = from; at < from + LIMIT_WINDOW; at += step) {
-    const spans = statementSpans.filter(span => span.instance === instance && span.content.limit)
+    const spans = advertisementSpans.filter(
+      span => span.instance === instance && span.content.limit,
+    )
     const current = spans.filter(span => span.from <= at && span.until > at).at(-1)
     allowed += ((current?.content.limit ?? Infinity) * step) / 1_000
   }
   return allowed
 }
 
-/** Checks of how boxes follow the statements of upstreams. */
-export const STATEMENT_CHECKS: Record<
+/** Checks of how boxes follow the advertisements of upstreams. */
+export const ADVERTISEMENT_CHECKS: Record<
   Extract<GuaranteeName, 'limit' | 'rest' | 'leaving' | 'used-again'>,
   GuaranteeCheck
 > = {
   limit: evidence =>
-    instancesStating(evidence, 'limit').flatMap(instance => {
+    instancesAdvertising(evidence, 'limit').flatMap(instance => {
       const counted = limitedArrivals(evidence, instance)
       const excess = counted.find(({ at }, index) => {
         const count = counted.slice(index).filter(later => later.at < at + LIMIT_WINDOW).length
@@ -95,7 +97,7 @@
     }),
 
   rest: evidence =>
-    evidence.statementAnswers
+    evidence.advertisingAnswers
       .filter(({ content }) => content.rest !== undefined)
       .flatMap(({ instance, id, content, at }) => {
         const box = evidence.boxOf(id)
@@ -126,11 +128,11 @@
       .map(({ id, instance }) => `${id} reached ${instance} after it had said that it leaves`)
   },
 
-  // A single request since the statement's end is enough: with little traffic, load balancing may
+  // A single request since the advertisement's end is enough: with little traffic, load balancing may
   // skip an upstream.
   'used-again': evidence => {
     const from = evidence.faultsEndedAt + FAULT_SETTLE_DURATION
-    const spans = evidence.statementSpans.filter(
+    const spans = evidence.advertisementSpans.filter(
       ({ content, until }) => !content.isLeaving && until < from,
     )
     const endedAt = new Map(spans.map(({ instance, until }) => [instance, until]))
--- a/packages/soak/src/faults/faultKinds.ts
+++ b/packages/soak/src/faults/faultKinds.ts
@@ -114,7 +114,7 @@
   'store-busy': storeFault({ status: 503 }),
   'store-turns-away': storeFault({ status: 429 }),
   'store-slow': storeFault({ delay: 250 }),
-  'store-loses-answers': storeFault({ losesAnswers: true }),
+  'store-loses-answers': storeFault({ dropsResponses: true }),
   'store-forgets': storeFault({ hasNoHistory: true }),
   'upstream-link': world => {
     const { proxy } = randomUpstream(world)
@@ -132,7 +132,7 @@
   'upstream-fails': upstreamFault({ failShare: 0.4 }),
   'upstream-loses': upstreamFault({ lostShare: 0.3 }),
   'upstream-breaks': upstreamFault({ breakShare: 0.5 }),
-  'upstream-mute': upstreamFault({ isMute: true }),
+  'upstream-mute': upstreamFault({ isUnresponsive: true }),
   'key-change': world => {
     world.changeKey()
     return { end() {} }
--- a/packages/soak/src/runSeed.ts
+++ b/packages/soak/src/runSeed.ts
@@ -20,7 +20,11 @@
   type PlannedCrashes,
 } from './world/crashes.js'
 import { planRollout, Rollout, type PlannedRollout } from './world/rollout.js'
-import { planStatements, Statements, type PlannedStatement } from './world/statements.js'
+import {
+  planAdvertisements,
+  Advertisements,
+  type PlannedAdvertisement,
+} from './world/statements.js'
 import { Upstreams } from './world/upstreams.js'
 
 export interface SeedOptions {
@@ -39,8 +43,8 @@
   rollout?: PlannedRollout
   /** Replaces the crashes planned for the seed, if any. */
   crashes?: PlannedCrashes
-  /** Replaces the statements of upstreams planned for the seed. */
-  statements?: readonly PlannedStatement[]
+  /** Replaces the advertisements of upstreams planned for the seed. */
+  advertisements?: readonly PlannedAdvertisement[]
 }
 
 export interface SeedResult {
@@ -84,7 +88,7 @@
   const random = createSeededRandom(seed)
   const evidence = new Evidence()
   const { now } = createSystemClock()
-  const rows = await startRowsStandIn({ pageSize: 100, feedsWait: true })
+  const rows = await startRowsStandIn({ pageSize: 100, usesLongPolling: true })
   const operators = createOperators(rows, evidence, now)
   const upstreams = new Upstreams({ host: loopbackAddress(seed, 0), rows, random, evidence, now })
   for (const service of UPSTREAM_SERVICES) await upstreams.add(service)
@@ -97,8 +101,8 @@
   const crashes =
     plannedCrashes &&
     new Crashes({ planned: plannedCrashes, targets, upstreams, evidence, random, key, now })
-  const statements = new Statements({
-    planned: options.statements ?? planStatements(seed, seconds),
+  const advertisements = new Advertisements({
+    planned: options.advertisements ?? planAdvertisements(seed, seconds),
     upstreams,
     evidence,
     now,
@@ -109,12 +113,12 @@
     await sleep(WARM_UP_MS)
     await rollout?.start()
     crashes?.start()
-    statements.start()
+    advertisements.start()
     await injectFaults(plan, { boxes, upstreams, rows, random, ...operators }, evidence, now)
     evidence.faultsEndedAt = now()
     await sleep(FAULT_FREE_MS)
     crashes?.stop()
-    statements.stop()
+    advertisements.stop()
     rollout?.stop()
     await callers.stop()
     evidence.finalInstances = new Set(upstreams.slots.map(({ standIn }) => standIn.instance))
--- a/packages/soak/src/world/boxProcess.ts
+++ b/packages/soak/src/world/boxProcess.ts
@@ -4,12 +4,16 @@
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import { fileURLToPath } from 'node:url'
-import { writeSettings, type BoxPlace, type DeploymentBounds } from '@yewkeel/platform/stand-ins'
+import {
+  writeSettings,
+  type BoxAddresses,
+  type DeploymentBounds,
+} from '@yewkeel/platform/stand-ins'
 
 /** A box that the soak starts and injects faults into. */
 export interface SoakBox {
   box: string
-  place: BoxPlace
+  place: BoxAddresses
   start(): void
   /** Stops it in the planned way (SIGTERM); resolves once the process has exited. */
   stop(): Promise<void>
@@ -36,7 +40,7 @@
  */
 export function createBoxProcess(
   program: string,
-  place: BoxPlace,
+  place: BoxAddresses,
   bounds: DeploymentBounds,
   isSuspended = false,
 ): SoakBox {
--- a/packages/soak/src/world/callers.ts
+++ b/packages/soak/src/world/callers.ts
@@ -1,5 +1,5 @@
 import {
-  ADDRESSES_QUESTION,
+  DIRECTORY_QUERY,
   HOST,
   PATHS,
   readAddresses,
@@ -107,7 +107,7 @@
     const { targets, random } = this.options
     const target = targets[Math.floor(random() * targets.length)]!
     try {
-      const answer = await request(`http://${target.directoryAddress}${ADDRESSES_QUESTION}`, {
+      const answer = await request(`http://${target.directoryAddress}${DIRECTORY_QUERY}`, {
         signal: AbortSignal.timeout(DIRECTORY_TIMEOUT_MS),
       })
       const text = await answer.body.text()
--- a/packages/soak/src/world/crashes.ts
+++ b/packages/soak/src/world/crashes.ts
@@ -1,4 +1,4 @@
-import { HOST, KILLER_PATHS, writeAttempt, type AttemptKind } from '@yewkeel/platform/stand-ins'
+import { HOST, POISON_PATHS, writeAttempt, type AttemptKind } from '@yewkeel/platform/stand-ins'
 import { createSeededRandom, pickWeighted, type Random } from '@yewkeel/decisions'
 import { request } from 'undici'
 import type { Evidence } from '../checks/evidence.js'
@@ -76,7 +76,7 @@
     const id = `killer-${++this.#attemptCount}`
     evidence.poisonRequests.boxes.set(id, target.box)
     try {
-      const { body } = await request(`http://${target.proxyAddress}${KILLER_PATHS[kind]}`, {
+      const { body } = await request(`http://${target.proxyAddress}${POISON_PATHS[kind]}`, {
         method: kind === 'safe' ? 'GET' : 'POST',
         headers: {
           host: HOST,
--- a/packages/soak/src/world/upstreams.ts
+++ b/packages/soak/src/world/upstreams.ts
@@ -171,10 +171,10 @@
       host,
       random,
       onArrival: id => void evidence.arrivals.push({ id, service, version, instance, at: now() }),
-      onRun: run => evidence.recordExecution({ ...run, service, at: now() }),
-      onKiller: id => this.#crashPoisoned(instance, id),
-      onSaid: (id, content) =>
-        void evidence.statementAnswers.push({ instance, id, content, at: now() }),
+      onExecution: run => evidence.recordExecution({ ...run, service, at: now() }),
+      onPoison: id => this.#crashPoisoned(instance, id),
+      onAdvertised: (id, content) =>
+        void evidence.advertisingAnswers.push({ instance, id, content, at: now() }),
     })
     this.#instances.set(instance, standIn)
     return standIn
--- a/packages/soak/test/brokenBox.ts
+++ b/packages/soak/test/brokenBox.ts
@@ -1,5 +1,5 @@
 import { createServer, request, type IncomingMessage, type ServerResponse } from 'node:http'
-import type { BoxPlace } from '@yewkeel/platform/stand-ins'
+import type { BoxAddresses } from '@yewkeel/platform/stand-ins'
 import type { GuaranteeName, SoakBox } from '../src/index.js'
 
 /** The fields read from any row; each row has some of them. */
@@ -32,7 +32,7 @@
  * Creates a minimal proxy, without retries, peers or limits, that violates one guarantee on
  * purpose. Shows that the soak detects each violation.
  */
-export function createBrokenBox(violated: GuaranteeName, place: BoxPlace): SoakBox {
+export function createBrokenBox(violated: GuaranteeName, place: BoxAddresses): SoakBox {
   const { ip, ports, storeAddress } = place
   const entryAddress = `${ip}:${ports.entry}`
   let keys: string[] = []
--- a/packages/soak/test/soak.test.ts
+++ b/packages/soak/test/soak.test.ts
@@ -10,7 +10,7 @@
   type PlannedCrashes,
   type PlannedFault,
   type PlannedRollout,
-  type PlannedStatement,
+  type PlannedAdvertisement,
   type GuaranteeName,
 } from '../src/index.js'
 import { createBrokenBox } from './brokenBox.js'
@@ -200,15 +200,15 @@
   'used-again': [],
 }
 
-/** The statements of upstreams that expose violations of the guarantees about them. */
-const STATEMENTS: Partial<Record<GuaranteeName, PlannedStatement['content']>> = {
+/** The advertisements of upstreams that expose violations of the guarantees about them. */
+const ADVERTISEMENTS: Partial<Record<GuaranteeName, PlannedAdvertisement['content']>> = {
   limit: { limit: 0.5 },
   rest: { rest: 3 },
   leaving: { isLeaving: true },
   'used-again': { limit: 2 },
 }
 
-const statementOf = (content: PlannedStatement['content']): PlannedStatement => ({
+const advertisementOf = (content: PlannedAdvertisement['content']): PlannedAdvertisement => ({
   at: 0,
   duration: content.limit === 2 ? 500 : 20_000,
   service: 'desk',
@@ -253,7 +253,9 @@
         plan: PLANS[guarantee],
         ...(guarantee === 'crashing-request' && { crashes: POISON_REQUEST }),
         ...(ROLLOUTS[guarantee] && { rollout: ROLLOUTS[guarantee] }),
-        ...(STATEMENTS[guarantee] && { statements: [statementOf(STATEMENTS[guarantee])] }),
+        ...(ADVERTISEMENTS[guarantee] && {
+          advertisements: [advertisementOf(ADVERTISEMENTS[guarantee])],
+        }),
         createBox: (_program, place) => createBrokenBox(guarantee, place),
       })
     // All runs share this process: with more than half of them at a time, callers send too few
--- a/packages/stand-ins/src/node/startStandIns.ts
+++ b/packages/stand-ins/src/node/startStandIns.ts
@@ -1,5 +1,5 @@
 import { createSeededRandom, createSystemClock, type Clock, type Random } from '@yewkeel/decisions'
-import { BoxList, type ListedBox } from '../platform/boxList.js'
+import { BoxList, type ListedMachine } from '../platform/boxList.js'
 import { MemoryTable } from '../platform/memoryTable.js'
 import { ObjectStore } from '../platform/objectStore.js'
 import { RatingService } from '../platform/ratingService.js'
@@ -53,7 +53,7 @@
   engines: Map<string, Engine>
   services: Map<string, PlainService>
   addresses: { table: string; boxList: string; ratings: string; objects: string }
-  listed: ListedBox[]
+  listed: ListedMachine[]
   close(): Promise<void>
 }
 
@@ -93,7 +93,7 @@
   }
   const engines = new Map<string, Engine>()
   const services = new Map<string, PlainService>()
-  const listed: ListedBox[] = []
+  const listed: ListedMachine[] = []
   for (const engine of settings.engines) {
     const created = createEngine(engine, settings, { clock, random, ...platform })
     const address = await serve(created.handler, { port: engine.port ?? 0, faults: created.faults })
@@ -116,7 +116,7 @@
     listed.push({ name, role: 'service', address, dataCentre, state: 'live', slots: 16 })
   }
   platform.boxList.set(listed)
-  platform.boxList.settle()
+  platform.boxList.publishNow()
   return {
     ...platform,
     engines,
--- a/packages/stand-ins/src/platform/boxList.ts
+++ b/packages/stand-ins/src/platform/boxList.ts
@@ -1,9 +1,9 @@
 import type { Clock, Milliseconds, Random } from '@yewkeel/decisions'
 import { createFaults, withFaults } from '../types/faults.js'
-import { answerJson, type StandInHandler } from '../types/handler.js'
+import { jsonResponse, type StandInHandler } from '../types/handler.js'
 
 /** A box, engine or service in the platform's list. */
-export interface ListedBox {
+export interface ListedMachine {
   name: string
   role: 'entry' | 'engine' | 'service'
   address: string
@@ -28,32 +28,32 @@
 /** The platform's eventually consistent list of live and leaving boxes, engines and services. */
 export class BoxList {
   readonly faults = createFaults()
-  #published: ListedBox[] = []
-  #current: ListedBox[] = []
+  #published: ListedMachine[] = []
+  #current: ListedMachine[] = []
 
   constructor(readonly options: BoxListOptions) {}
 
   /** Replaces the list. Clients see the new one after the lag. */
-  set(boxes: ListedBox[]): void {
+  set(boxes: ListedMachine[]): void {
     this.#current = boxes
     this.options.clock.after(this.options.lag ?? 1_000, () => (this.#published = boxes))
   }
 
   /** Publishes the current list at once, so that a start need not wait for the lag. */
-  settle(): void {
+  publishNow(): void {
     this.#published = this.#current
   }
 
   /** The list that clients see. */
-  get boxes(): readonly ListedBox[] {
+  get boxes(): readonly ListedMachine[] {
     return this.#published
   }
 
   /** The current list, including changes that clients can't see yet. */
-  get actual(): readonly ListedBox[] {
+  get actual(): readonly ListedMachine[] {
     return this.#current
   }
 
   readonly handler: StandInHandler = () =>
-    withFaults(this.faults, this.options, () => answerJson(200, { boxes: this.#published }))
+    withFaults(this.faults, this.options, () => jsonResponse(200, { boxes: this.#published }))
 }
--- a/packages/stand-ins/src/platform/objectStore.ts
+++ b/packages/stand-ins/src/platform/objectStore.ts
@@ -1,6 +1,6 @@
 import type { Clock, Random } from '@yewkeel/decisions'
 import { createFaults, withFaults } from '../types/faults.js'
-import { answerJson, type StandInHandler } from '../types/handler.js'
+import { jsonResponse, type StandInHandler } from '../types/handler.js'
 
 /** In-memory object store: PUT stores a JSON object under its path, any other method returns it. */
 export class ObjectStore {
@@ -13,10 +13,10 @@
     withFaults(this.faults, this.options, () => {
       if (request.method === 'PUT') {
         this.objects.set(request.path, request.body)
-        return answerJson(200, {})
+        return jsonResponse(200, {})
       }
       const object = this.objects.get(request.path)
-      if (object === undefined) return answerJson(404, { message: 'no such object' })
-      return answerJson(200, JSON.parse(object))
+      if (object === undefined) return jsonResponse(404, { message: 'no such object' })
+      return jsonResponse(200, JSON.parse(object))
     })
 }
--- a/packages/stand-ins/src/platform/ratingService.ts
+++ b/packages/stand-ins/src/platform/ratingService.ts
@@ -1,6 +1,6 @@
 import type { Clock, Milliseconds, Random } from '@yewkeel/decisions'
 import { createFaults, withFaults } from '../types/faults.js'
-import { answerJson, type StandInHandler } from '../types/handler.js'
+import { jsonResponse, type StandInHandler } from '../types/handler.js'
 
 export interface RatingServiceOptions {
   clock: Clock
@@ -60,6 +60,6 @@
     withFaults(this.faults, this.options, () => {
       const url = new URL(request.path, 'http://ratings')
       const cursor = Number(url.searchParams.get('after') ?? 0)
-      return answerJson(200, this.ratingsAfter(cursor, url.searchParams.get('router') ?? ''))
+      return jsonResponse(200, this.ratingsAfter(cursor, url.searchParams.get('router') ?? ''))
     })
 }
--- a/packages/stand-ins/src/platform/tableHandler.ts
+++ b/packages/stand-ins/src/platform/tableHandler.ts
@@ -1,6 +1,6 @@
 import type { StoreRow, StoreTransaction } from '@yewkeel/decisions'
 import { withFaults } from '../types/faults.js'
-import { answerJson, type StandInHandler } from '../types/handler.js'
+import { jsonResponse, type StandInHandler } from '../types/handler.js'
 import type { MemoryTable } from './memoryTable.js'
 
 interface RangeBody {
@@ -28,8 +28,9 @@
   return request =>
     withFaults(table.faults, table.options, () => {
       const handle = ROUTES[request.path]
-      if (!handle || request.method !== 'POST') return answerJson(404, { message: 'unknown path' })
-      return answerJson(200, handle(table, JSON.parse(request.body)))
+      if (!handle || request.method !== 'POST')
+        return jsonResponse(404, { message: 'unknown path' })
+      return jsonResponse(200, handle(table, JSON.parse(request.body)))
     })
 }
 
--- a/packages/stand-ins/src/types/handler.ts
+++ b/packages/stand-ins/src/types/handler.ts
@@ -27,7 +27,7 @@
   }
 }
 
-export function answerJson(status: number, body: unknown): StandInResponse {
+export function jsonResponse(status: number, body: unknown): StandInResponse {
   return {
     status,
     headers: { 'content-type': 'application/json' },
--- a/packages/stand-ins/src/upstreams/engine.ts
+++ b/packages/stand-ins/src/upstreams/engine.ts
@@ -8,7 +8,7 @@
 } from '@yewkeel/decisions'
 import { createFaults, withFaults } from '../types/faults.js'
 import {
-  answerJson,
+  jsonResponse,
   type StandInResponse,
   type StandInHandler,
   type StandInRequest,
@@ -121,15 +121,15 @@
       return this.#complete(request)
     if (url.pathname.startsWith('/v1/streams/')) return this.#handleStream(request, url)
     if (url.pathname === '/v1/models') {
-      return answerJson(200, {
+      return jsonResponse(200, {
         object: 'list',
         data: [...this.versions].map(id => ({ id, object: 'model' })),
       })
     }
-    if (url.pathname === '/load') return answerJson(200, this.#loadReport())
+    if (url.pathname === '/load') return jsonResponse(200, this.#loadReport())
     if (request.method === 'POST' && url.pathname === '/orders')
       return this.#handleLoadOrder(request)
-    return answerJson(404, { error: { message: 'unknown path' } })
+    return jsonResponse(404, { error: { message: 'unknown path' } })
   }
 
   #loadReport() {
@@ -146,7 +146,7 @@
   async #complete(request: StandInRequest): Promise<StandInResponse> {
     const body = JSON.parse(request.body) as CompletionBody
     if (!this.versions.has(body.model)) {
-      return answerJson(404, {
+      return jsonResponse(404, {
         error: { message: `the model ${body.model} is not loaded`, type: 'not_found' },
       })
     }
@@ -169,7 +169,7 @@
     const stream: EngineStream = {
       id,
       version: this.faults.lies ? `${body.model.split('@')[0]}@other` : body.model,
-      tokens: answerWords(prompt, tokenCount),
+      tokens: expectedTokens(prompt, tokenCount),
       produced: 0,
       promptTokens: Math.max(1, Math.ceil(prompt.length / 4)),
       confidence,
@@ -279,7 +279,7 @@
       },
     }
     const message = { role: 'assistant', content: stream.tokens.join('') }
-    return answerJson(200, {
+    return jsonResponse(200, {
       id: `chatcmpl-${stream.id}`,
       object: 'chat.completion',
       model: stream.version,
@@ -291,13 +291,13 @@
   #handleStream(request: StandInRequest, url: URL): StandInResponse {
     const id = decodeURIComponent(url.pathname.slice('/v1/streams/'.length))
     const stream = this.#streams.get(id)
-    if (!stream) return answerJson(404, { error: { message: 'no such stream' } })
+    if (!stream) return jsonResponse(404, { error: { message: 'no such stream' } })
     if (request.method === 'DELETE') {
       stream.cancelled = true
-      return answerJson(200, { usage: usageOf(stream) })
+      return jsonResponse(200, { usage: usageOf(stream) })
     }
     if (url.searchParams.get('status') === 'only') {
-      return answerJson(200, { done: stream.done, usage: usageOf(stream), model: stream.version })
+      return jsonResponse(200, { done: stream.done, usage: usageOf(stream), model: stream.version })
     }
     return this.#eventStream(stream, Number(url.searchParams.get('after') ?? 0), request)
   }
@@ -306,10 +306,10 @@
   #handleLoadOrder(request: StandInRequest): StandInResponse {
     const order = JSON.parse(request.body) as { fence: number; load: string; unload?: string }
     if ((this.options.checksFence ?? true) && order.fence < this.#fence) {
-      return answerJson(409, { message: `the fence ${order.fence} is older than ${this.#fence}` })
+      return jsonResponse(409, { message: `the fence ${order.fence} is older than ${this.#fence}` })
     }
     this.#fence = Math.max(this.#fence, order.fence)
-    if (this.versions.has(order.load) || this.loading === order.load) return answerJson(200, {})
+    if (this.versions.has(order.load) || this.loading === order.load) return jsonResponse(200, {})
     if (order.unload) this.versions.delete(order.unload)
     this.loading = order.load
     void (this.options.weights?.load() ?? Promise.resolve()).then(
@@ -319,7 +319,7 @@
       },
       () => (this.loading = undefined),
     )
-    return answerJson(202, {})
+    return jsonResponse(202, {})
   }
 
   /** Returns the prompt tokens found in the prefix cache, and caches the blocks of the prompt. */
@@ -348,7 +348,7 @@
 }
 
 /** Returns the tokens of the answer to a prompt, deterministic so that callers can check them. */
-export function answerWords(prompt: string, tokenCount: number): string[] {
+export function expectedTokens(prompt: string, tokenCount: number): string[] {
   const random = createSeededRandom(hashText(prompt))
   return Array.from({ length: tokenCount }, () => `${Math.floor(random() * 46_656).toString(36)} `)
 }
--- a/packages/stand-ins/src/upstreams/plainService.ts
+++ b/packages/stand-ins/src/upstreams/plainService.ts
@@ -1,6 +1,6 @@
 import { sleep, type Clock, type Milliseconds, type Random } from '@yewkeel/decisions'
 import { createFaults, withFaults } from '../types/faults.js'
-import { answerJson, type StandInHandler } from '../types/handler.js'
+import { jsonResponse, type StandInHandler } from '../types/handler.js'
 
 export interface PlainServiceOptions {
   clock: Clock
@@ -24,7 +24,7 @@
     withFaults(this.faults, this.options, async () => {
       const { clock, workTime = 10, slots = 16 } = this.options
       if (request.path === '/load') {
-        return answerJson(200, {
+        return jsonResponse(200, {
           running: this.#running,
           waiting: 0,
           slots,
@@ -38,8 +38,8 @@
       await sleep(clock, workTime)
       this.#running--
       if (request.method === 'POST')
-        return answerJson(201, { done: true, call: request.body.slice(0, 200) })
-      return answerJson(200, { path: request.path, free: 3 })
+        return jsonResponse(201, { done: true, call: request.body.slice(0, 200) })
+      return jsonResponse(200, { path: request.path, free: 3 })
     })
 
   #countRun(key: string): void {
