--- a/packages/box/src/requests/callService.ts
+++ b/packages/box/src/requests/callService.ts
@@ -4,7 +4,7 @@
 import type { HeldClaim } from '../tasks/claimTask.js'
 import { readText } from '../tasks/upstreamTask.js'
 import { answerRefusal } from './answerRefusal.js'
-import { RequestBill } from './billKeeper.js'
+import { RequestBill } from './requestBill.js'
 import { refuseStaleTable } from './filters.js'
 import {
   sendToUpstream,
--- a/packages/box/src/requests/completionTask.ts
+++ b/packages/box/src/requests/completionTask.ts
@@ -6,7 +6,7 @@
 } from '@yewkeel/decisions'
 import type { RequestContext, SendPlan } from '../types/context.js'
 import type { UpstreamRequest } from '../types/ports.js'
-import type { RequestBill } from './billKeeper.js'
+import type { RequestBill } from './requestBill.js'
 import { refuseStaleTable } from './filters.js'
 import type { Completion } from './parseCompletion.js'
 import { checkVersion, type SessionVersions } from './resolveSession.js'
--- a/packages/box/src/requests/sendToUpstream.ts
+++ b/packages/box/src/requests/sendToUpstream.ts
@@ -23,7 +23,7 @@
 import { Result } from 'true-myth'
 import type { RequestContext, SendPlan } from '../types/context.js'
 import { UpstreamFailure, type UpstreamAnswer, type UpstreamRequest } from '../types/ports.js'
-import { SuspectAttempts } from './suspectSends.js'
+import { SuspectAttempts } from './suspectAttempts.js'
 
 /** An answer that an upstream has started. */
 export interface OpenAnswer {
--- a/packages/ctl/src/node/main.ts
+++ b/packages/ctl/src/node/main.ts
@@ -3,7 +3,7 @@
 import { formatIssue, parseTable, type InputIssue, type TableRow } from '@yewkeel/decisions'
 import { defineCommand, runMain } from 'citty'
 import { EXIT_CODES } from '../utils/exitCodes.js'
-import { formatRecords } from '../utils/formatTable.js'
+import { formatRecords } from '../utils/formatRecords.js'
 import { tableFormatOf, writeTable } from '../utils/writeTable.js'
 import { requestFromBoxes, type OperatorAnswer } from './operatorClient.js'
 
--- a/packages/decisions/src/exposure/judgeVersions.ts
+++ b/packages/decisions/src/exposure/judgeVersions.ts
@@ -5,7 +5,7 @@
   isSignificantlyWorse,
   type VersionEvidence,
   type SequentialTestOptions,
-} from './isShownWorse.js'
+} from './isSignificantlyWorse.js'
 import { countRatings, ratingCoverage, remainingAnswers } from './ramp.js'
 
 const NO_EVIDENCE: VersionEvidence = new Map()
--- a/packages/decisions/src/exposure/ramp.ts
+++ b/packages/decisions/src/exposure/ramp.ts
@@ -5,7 +5,7 @@
  * their version.
  */
 import type { EvidenceTotal } from './evidence.js'
-import type { VersionEvidence } from './isShownWorse.js'
+import type { VersionEvidence } from './isSignificantlyWorse.js'
 
 /** Unrated answers allowed before the first rating, over all boxes. */
 const INITIAL_UNRATED = 60
--- a/packages/decisions/src/listing/pickUpstream.ts
+++ b/packages/decisions/src/listing/pickUpstream.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '../types/clock.js'
 import type { Random } from '../types/random.js'
-import { prefixHomes } from './textHomes.js'
+import { prefixHomes } from './prefixHomes.js'
 import type { PrefillWork, UpstreamCandidate } from './upstreamCandidate.js'
 
 export interface PickOptions {
--- a/packages/decisions/src/rollouts/versionEvidence.ts
+++ b/packages/decisions/src/rollouts/versionEvidence.ts
@@ -4,7 +4,7 @@
   totalLogEvidence,
   type VersionEvidence,
   type SequentialTestOptions,
-} from '../exposure/isShownWorse.js'
+} from '../exposure/isSignificantlyWorse.js'
 import type { Milliseconds } from '../types/clock.js'
 
 /** Rated aspects of an answer: completeness, time until it starts, and speed of the rest. */
--- a/packages/decisions/src/upstreams/upstreamView.ts
+++ b/packages/decisions/src/upstreams/upstreamView.ts
@@ -1,4 +1,4 @@
-import { NO_BACK_OFF, extendBackOff } from '../budgets/rest.js'
+import { NO_BACK_OFF, extendBackOff } from '../budgets/backOff.js'
 import type { Milliseconds } from '../types/clock.js'
 
 export type UpstreamKind = 'engine' | 'service'
--- a/packages/gateway/src/node/upstreamChannels.ts
+++ b/packages/gateway/src/node/upstreamConnectionPool.ts
@@ -2,7 +2,7 @@
 import type { Socket } from 'node:net'
 import { Client, type Dispatcher } from 'undici'
 import type { RawHeaders } from '../types/ports.js'
-import { createTimedConnector } from './connectInTime.js'
+import { createTimedConnector } from './connectTimeout.js'
 
 /** A request as it goes to an upstream. */
 export interface ExchangeRequest {
--- a/packages/gateway/src/requests/exchangeWithUpstream.ts
+++ b/packages/gateway/src/requests/exchangeWithUpstream.ts
@@ -1,6 +1,6 @@
 import type { ExchangeOutcome, Milliseconds } from '@yewkeel/decisions'
-import { isUnreachable } from '../node/connectInTime.js'
-import type { Exchange, ExchangeRequest } from '../node/upstreamChannels.js'
+import { isUnreachable } from '../node/connectTimeout.js'
+import type { Exchange, ExchangeRequest } from '../node/upstreamConnectionPool.js'
 import type { Upstream } from '../types/upstream.js'
 import type { ResponseFields, Dialect, RawHeaders } from '../types/ports.js'
 
--- a/packages/gateway/src/requests/forwardedRequest.ts
+++ b/packages/gateway/src/requests/forwardedRequest.ts
@@ -7,7 +7,7 @@
 } from '@yewkeel/decisions'
 import type { GatewayServices } from '../types/services.js'
 import type { CallerResponse, OutgoingFields } from '../types/ports.js'
-import type { AnswerKey, TimedAspect } from '../tasks/versionJudge.js'
+import type { AnswerKey, TimedAspect } from '../tasks/versionEvaluator.js'
 import type { Upstream } from '../types/upstream.js'
 import type { AdmittedRequest } from './admitCaller.js'
 import { CrashProbe, type SentAttempt } from './crashProbe.js'
@@ -18,8 +18,8 @@
   type ExchangeHandler,
   type RunningExchange,
 } from './exchangeWithUpstream.js'
-import { AttemptTracker } from './tryAccount.js'
-import { AttemptLog } from './tryLog.js'
+import { AttemptTracker } from './attemptTracker.js'
+import { AttemptLog } from './attemptLog.js'
 import { UpstreamSearch } from './upstreamSearch.js'
 
 /** Status for a quarantined request. */
--- a/packages/gateway/src/tasks/knownBoxes.ts
+++ b/packages/gateway/src/tasks/knownBoxes.ts
@@ -1,8 +1,8 @@
 import { hashText, type AnswerCount, type Milliseconds } from '@yewkeel/decisions'
 import type { GatewayState, OwnReport } from '../types/gossip.js'
 import type { BoxEntry } from '../types/ports.js'
-import { shortRunHash, type RelayedReport } from './hearsay.js'
-import type { BoxAnswers } from './versionJudge.js'
+import { shortRunHash, type RelayedReport } from './relayedReports.js'
+import type { BoxAnswers } from './versionEvaluator.js'
 
 /** The last known state of another box. */
 export interface KnownBox {
--- a/packages/gateway/src/tasks/peerTask.ts
+++ b/packages/gateway/src/tasks/peerTask.ts
@@ -23,11 +23,11 @@
 } from '../types/gossip.js'
 import type { BoxEntry, EventLog, OperatorState } from '../types/ports.js'
 import type { SuspectUpdate } from '@yewkeel/box'
-import { packRelayedReports, unpackRelayedReports, type RelayedReport } from './hearsay.js'
+import { packRelayedReports, unpackRelayedReports, type RelayedReport } from './relayedReports.js'
 import { KnownBoxes, SILENT_AFTER, type KnownBox } from './knownBoxes.js'
-import { DelayedBatch } from './newsBatch.js'
+import { DelayedBatch } from './delayedBatch.js'
 import type { Verdict } from './rolloutTask.js'
-import type { BoxAnswers } from './versionJudge.js'
+import type { BoxAnswers } from './versionEvaluator.js'
 
 /** The part of a gossip message that comes from other tasks of this box. */
 export interface GossipContent extends Pick<
--- a/packages/gateway/src/tasks/reachabilityWatch.ts
+++ b/packages/gateway/src/tasks/reachabilityWatch.ts
@@ -1,5 +1,5 @@
 import type { Clock, Milliseconds } from '@yewkeel/decisions'
-import { CONNECT_TIMEOUT } from '../node/connectInTime.js'
+import { CONNECT_TIMEOUT } from '../node/connectTimeout.js'
 import type { Upstream } from '../types/upstream.js'
 
 export interface ReachabilityWatchOptions {
--- a/packages/gateway/src/tasks/rolloutTask.ts
+++ b/packages/gateway/src/tasks/rolloutTask.ts
@@ -21,7 +21,7 @@
 } from '@yewkeel/decisions'
 import type { EventLog, Store } from '../types/ports.js'
 import type { UpstreamDirectory } from './upstreamDirectory.js'
-import { VersionEvaluator, type BoxAnswers } from './versionJudge.js'
+import { VersionEvaluator, type BoxAnswers } from './versionEvaluator.js'
 
 export interface RolloutTaskOptions {
   clock: Clock
--- a/packages/gateway/src/tasks/storeReader.ts
+++ b/packages/gateway/src/tasks/storeReader.ts
@@ -1,6 +1,6 @@
 import type { Clock, Confirmation, Milliseconds } from '@yewkeel/decisions'
 import { confirm, confirmationAge, sleep } from '@yewkeel/decisions'
-import { CONNECT_TIMEOUT } from '../node/connectInTime.js'
+import { CONNECT_TIMEOUT } from '../node/connectTimeout.js'
 import type { EventLog, GatewayMetrics, Store } from '../types/ports.js'
 import type { OperatorTask } from './operatorTask.js'
 import type { RolloutTask } from './rolloutTask.js'
--- a/packages/gateway/src/tasks/upstreamDirectory.ts
+++ b/packages/gateway/src/tasks/upstreamDirectory.ts
@@ -18,12 +18,12 @@
   type VersionTrial,
   type WaitQueue,
 } from '@yewkeel/decisions'
-import type { OpenConnectionPool } from '../node/upstreamChannels.js'
+import type { OpenConnectionPool } from '../node/upstreamConnectionPool.js'
 import type { EventLog } from '../types/ports.js'
 import type { AdvertisedState, Upstream } from '../types/upstream.js'
 import type { BudgetSource, SendBudget } from './sendBudget.js'
 import type { CrashSuspects } from '@yewkeel/box'
-import { isolateSuspects } from './placeSuspects.js'
+import { isolateSuspects } from './isolateSuspects.js'
 import type { EngineWork } from './engineWork.js'
 import { UpstreamListTask } from './upstreamListTask.js'
 
--- a/packages/gateway/src/types/upstream.ts
+++ b/packages/gateway/src/types/upstream.ts
@@ -4,7 +4,7 @@
   AdvertisedLimit,
   UpstreamCandidate,
 } from '@yewkeel/decisions'
-import type { ConnectionPool } from '../node/upstreamChannels.js'
+import type { ConnectionPool } from '../node/upstreamConnectionPool.js'
 
 /** An upstream that requests can be sent to. */
 export interface Upstream extends UpstreamCandidate {
--- a/packages/gateway/test/statements.test.ts
+++ b/packages/gateway/test/advertisements.test.ts
@@ -11,7 +11,7 @@
   type Announcement,
   type AdvertisementScenario,
   type AdvertisementSimulation,
-} from './playedStatements.js'
+} from './advertisementSimulation.js'
 
 const FROM = 4_000
 const END = 24_000
--- a/packages/gateway/test/badVersion.test.ts
+++ b/packages/gateway/test/badVersion.test.ts
@@ -4,7 +4,7 @@
   type BadVersion,
   type RolloutSimulation,
   type RolloutSimulationResult,
-} from './playedRollout.js'
+} from './rolloutSimulation.js'
 
 /** Of a service's requests that a bad version may receive; the setting `exposureLimit`. */
 const MAX_EXPOSURE_FRACTION = 0.15
--- a/packages/gateway/test/playedCrashes.ts
+++ b/packages/gateway/test/crashSimulation.ts
@@ -1,7 +1,7 @@
 import { createSeededRandom, type ListedUpstream, type Milliseconds } from '@yewkeel/decisions'
 import type { ExchangeListener, OpenConnectionPool, RawHeaders } from '../src/index.js'
 import { createFleet, type Fleet, type FleetBox } from './testFleet.js'
-import { createSimulatedDialect, headerOf } from './playedDialect.js'
+import { createSimulatedDialect, headerOf } from './simulatedDialect.js'
 import { createTestRoute } from './testGateway.js'
 
 export type RouteName = 'chat' | 'tag' | 'check' | 'hold'
--- a/packages/gateway/test/crashingRequest.test.ts
+++ b/packages/gateway/test/poisonRequest.test.ts
@@ -8,7 +8,7 @@
   type CrashSimulationResult,
   type PoisonRequestRecord,
   type RouteName,
-} from './playedCrashes.js'
+} from './crashSimulation.js'
 
 /** Milliseconds from the third crash until all boxes must know a poison request. */
 const PROPAGATION_DURATION = 3_000
--- a/packages/gateway/test/hearsay.test.ts
+++ b/packages/gateway/test/relayedReports.test.ts
@@ -3,7 +3,7 @@
   packRelayedReports,
   unpackRelayedReports,
   type RelayedReport,
-} from '../src/tasks/hearsay.js'
+} from '../src/tasks/relayedReports.js'
 
 const entry: RelayedReport = {
   box: 0xfedcba98,
--- a/packages/gateway/test/playedRollout.ts
+++ b/packages/gateway/test/rolloutSimulation.ts
@@ -1,6 +1,6 @@
 import { createSeededRandom, type Milliseconds, type Random } from '@yewkeel/decisions'
 import type { ExchangeListener, OpenConnectionPool } from '../src/index.js'
-import { createSimulatedDialect, headerOf } from './playedDialect.js'
+import { createSimulatedDialect, headerOf } from './simulatedDialect.js'
 import { createTestRoute } from './testGateway.js'
 import { createFleet, type Fleet } from './testFleet.js'
 
--- a/packages/proof/src/measures/policyLoad.ts
+++ b/packages/proof/src/measures/policyLoad.ts
@@ -23,7 +23,7 @@
   type UpstreamStrategyName,
   type UpstreamView,
 } from '@yewkeel/decisions'
-import { SimulatedEngine } from './loadWorld.js'
+import { SimulatedEngine } from './simulatedEngine.js'
 import { quantileOf, type RowCollector } from './measureRow.js'
 import {
   drawTokenCount,
--- a/packages/soak/src/checks/statementChecks.ts
+++ b/packages/soak/src/checks/advertisementChecks.ts
@@ -3,9 +3,9 @@
   FAULT_SETTLE_DURATION,
   SCHEDULING_TOLERANCE,
   type GuaranteeCheck,
-} from './allowances.js'
+} from './tolerances.js'
 import type { Arrival, Evidence } from './evidence.js'
-import type { GuaranteeName, Milliseconds } from './seen.js'
+import type { GuaranteeName, Milliseconds } from './observations.js'
 
 /** Time for a limit to reach all boxes after the first answer that states it. */
 const LIMIT_PROPAGATION_DELAY: Milliseconds = 3_000
--- a/packages/soak/src/checks/evidence.ts
+++ b/packages/soak/src/checks/evidence.ts
@@ -1,5 +1,5 @@
 import type { UpstreamAdvertisement } from '@yewkeel/platform/stand-ins'
-import type { Attempt, Execution, FaultSpan, Milliseconds } from './seen.js'
+import type { Attempt, Execution, FaultSpan, Milliseconds } from './observations.js'
 
 /** An API key that operators revoked. `revokedAt`: when the store accepted the change. */
 export interface KeyRevocation {
--- a/packages/soak/src/checks/promises.ts
+++ b/packages/soak/src/checks/guarantees.ts
@@ -9,10 +9,10 @@
   FAULT_SETTLE_DURATION,
   SCHEDULING_TOLERANCE,
   type GuaranteeCheck,
-} from './allowances.js'
+} from './tolerances.js'
 import type { Arrival, Evidence, ObservedRollout } from './evidence.js'
-import type { Attempt, GuaranteeName, Milliseconds, Violation } from './seen.js'
-import { ADVERTISEMENT_CHECKS } from './statementChecks.js'
+import type { Attempt, GuaranteeName, Milliseconds, Violation } from './observations.js'
+import { ADVERTISEMENT_CHECKS } from './advertisementChecks.js'
 
 /** How long after its deadline an attempt must have ended. */
 const MAX_ANSWER_DELAY: Milliseconds = 1_500
--- a/packages/soak/src/checks/allowances.ts
+++ b/packages/soak/src/checks/tolerances.ts
@@ -1,6 +1,6 @@
 import type { DeploymentBounds } from '@yewkeel/platform/stand-ins'
 import type { Evidence } from './evidence.js'
-import type { Milliseconds } from './seen.js'
+import type { Milliseconds } from './observations.js'
 
 /** Time for a box to recover after a fault: longer than several of its timeouts in sequence. */
 export const FAULT_SETTLE_DURATION: Milliseconds = 4_000
--- a/packages/soak/src/runSeed.ts
+++ b/packages/soak/src/runSeed.ts
@@ -6,8 +6,8 @@
 } from '@yewkeel/platform/stand-ins'
 import { createSeededRandom, createSystemClock, type Random } from '@yewkeel/decisions'
 import { Evidence } from './checks/evidence.js'
-import { findViolations } from './checks/promises.js'
-import type { FaultSpan, Violation } from './checks/seen.js'
+import { findViolations } from './checks/guarantees.js'
+import type { FaultSpan, Violation } from './checks/observations.js'
 import { FAULT_KINDS, PLANNED_CHANGES, type ProxiedBox, type World } from './faults/faultKinds.js'
 import { startLoopbackProxy } from './faults/loopbackProxy.js'
 import { planFaults, type PlannedFault } from './faults/planFaults.js'
@@ -24,7 +24,7 @@
   planAdvertisements,
   Advertisements,
   type PlannedAdvertisement,
-} from './world/statements.js'
+} from './world/advertisements.js'
 import { Upstreams } from './world/upstreams.js'
 
 export interface SeedOptions {
--- a/packages/soak/src/world/callers.ts
+++ b/packages/soak/src/world/callers.ts
@@ -11,7 +11,7 @@
 import { pickWeighted, type Random } from '@yewkeel/decisions'
 import { Client, request, type Dispatcher } from 'undici'
 import type { Evidence } from '../checks/evidence.js'
-import type { Attempt, AttemptEnd } from '../checks/seen.js'
+import type { Attempt, AttemptEnd } from '../checks/observations.js'
 
 /** The addresses (`host:port`) at which callers reach a box. */
 export interface CallerTarget {
