--- a/packages/box/src/requests/answerCompletion.ts
+++ b/packages/box/src/requests/answerCompletion.ts
@@ -61,7 +61,7 @@
     models.map(model => stageCosts(task, model)),
     mayBufferAnswer(context, completion),
   )
-  task.predictedQuality = choice.promised
+  task.predictedQuality = choice.predictedQuality
   let fallback: ScoredAnswer | undefined
   for (let stage = choice.start; stage < models.length; stage++) {
     const version = task.versions.versionOf(models[stage]!)
--- a/packages/box/src/requests/sendToUpstream.ts
+++ b/packages/box/src/requests/sendToUpstream.ts
@@ -2,7 +2,7 @@
   admit,
   chooseUpstream,
   earnRetry,
-  noteBackOff,
+  recordBackOff,
   recordEnd,
   recordFailure,
   recordFirstToken,
@@ -171,7 +171,7 @@
     })
     const retryAfter = readRetryAfter(answer)
     if (retryAfter !== undefined) {
-      noteBackOff(view, retryAfter, services.clock.now())
+      recordBackOff(view, retryAfter, services.clock.now())
       services.log.info(
         { upstream: view.id, rest: retryAfter },
         'upstream rejected a request with Retry-After; backing off',
--- a/packages/box/src/tasks/qualityTask.ts
+++ b/packages/box/src/tasks/qualityTask.ts
@@ -59,7 +59,7 @@
 export interface CascadeChoice {
   start: number
   /** Probability of a good answer by the plan, also when the request explores another stage. */
-  promised: number
+  predictedQuality: number
   /** Whether the stage's answer is judged before it is sent. */
   isJudged(stage: number): boolean
   /** Whether an answer of this confidence is sent; otherwise the next stage runs. */
@@ -88,7 +88,7 @@
 export class QualityTask {
   readonly #estimates: QualityEstimates = new Map()
   /** Corrects the bias of the quality estimates, and like them is shared by all organisations. */
-  readonly #promiseCheck: QualityCalibration = createQualityCalibration()
+  readonly #calibration: QualityCalibration = createQualityCalibration()
   readonly #organisations = new Map<string, OrganisationState>()
 
   constructor(private readonly options: QualityTaskOptions) {}
@@ -105,14 +105,14 @@
     const requestKind = recordRequest(state, kind, stages, mayWait)
     this.#refreshPlan(state, requestKind, limit)
     const plan = requestKind.plan!
-    const promised = plan.stages[plan.start]?.expectedQuality ?? 1
+    const predictedQuality = plan.stages[plan.start]?.expectedQuality ?? 1
     const start = this.#explore(kind, stages) ?? plan.start
     if (mayWait && this.#isCalibrationRequest(kind, stages[start]!.model)) {
-      return { start, promised, isJudged: () => true, accepts: () => true }
+      return { start, predictedQuality, isJudged: () => true, accepts: () => true }
     }
     return {
       start,
-      promised,
+      predictedQuality,
       isJudged: stage => mayWait && plan.stages[stage]?.accepts !== undefined,
       accepts: (stage, confidence) => plan.stages[stage]?.accepts?.[bucketOf(confidence)] ?? true,
     }
@@ -127,7 +127,7 @@
 
   recordRating(answer: ServedAnswer, good: boolean): void {
     if (answer.predictedQuality !== undefined)
-      recordPrediction(this.#promiseCheck, answer.predictedQuality, good)
+      recordPrediction(this.#calibration, answer.predictedQuality, good)
     const counts = countsOf(this.#estimates, answer.kind, answer.model)
     countRating(counts, answer.bucket, good, this.options.clock.now())
   }
@@ -142,7 +142,7 @@
       }))
       state.price = solveQualityPrice(
         outlooks,
-        correctedTarget(this.#promiseCheck, limit.qualityTarget),
+        correctedTarget(this.#calibration, limit.qualityTarget),
       )
     }
     if (kind.plan && now - kind.plannedAt < PLAN_TTL) return
--- a/packages/box/test/crashSuspects.test.ts
+++ b/packages/box/test/crashSuspects.test.ts
@@ -50,7 +50,7 @@
   request: string,
   upstream: string,
   atSend = suspects.find(request),
-  hasAnswered = false,
+  wasAnsweredRecently = false,
 ) =>
   suspects.recordCrash({
     request,
@@ -58,7 +58,7 @@
     service: 'pool',
     atSend,
     route: 'chat',
-    wasAnsweredRecently: hasAnswered,
+    wasAnsweredRecently,
   })
 
 describe('CrashSuspects', () => {
--- a/packages/decisions/src/budgets/waitQueue.ts
+++ b/packages/decisions/src/budgets/waitQueue.ts
@@ -12,7 +12,7 @@
 
 /** The requests of one service that wait for an upstream, in order of arrival. */
 export interface WaitQueue {
-  waiters: Set<QueuedRequest>
+  requests: Set<QueuedRequest>
   /** Organisations of the latest requests that were served, oldest first; may repeat. */
   served: string[]
 }
@@ -24,18 +24,18 @@
 const SERVED_HISTORY_LENGTH = 14
 
 export function createWaitQueue(): WaitQueue {
-  return { waiters: new Set(), served: [] }
+  return { requests: new Set(), served: [] }
 }
 
 /** Number of requests that are served before this one. */
-export function requestsAhead({ waiters, served }: WaitQueue, waiter: QueuedRequest): number {
+export function requestsAhead({ requests, served }: WaitQueue, request: QueuedRequest): number {
   const rankOf = ({ urgency, organisation }: QueuedRequest) =>
     urgency + served.filter(name => name === organisation).length
-  const rank = rankOf(waiter)
+  const rank = rankOf(request)
   let ahead = 0
   let isBehind = false
-  for (const other of waiters) {
-    if (other === waiter) {
+  for (const other of requests) {
+    if (other === request) {
       isBehind = true
       continue
     }
@@ -46,7 +46,7 @@
 }
 
 /** Records that a request was served while others could have taken its place. */
-export function recordServed(line: WaitQueue, { organisation }: QueuedRequest): void {
-  line.served.push(organisation)
-  if (line.served.length > SERVED_HISTORY_LENGTH) line.served.shift()
+export function recordServed(queue: WaitQueue, { organisation }: QueuedRequest): void {
+  queue.served.push(organisation)
+  if (queue.served.length > SERVED_HISTORY_LENGTH) queue.served.shift()
 }
--- a/packages/decisions/src/upstreams/upstreamView.ts
+++ b/packages/decisions/src/upstreams/upstreamView.ts
@@ -142,7 +142,7 @@
  * Records a rejection with a requested back-off. Not counted as a failure, since an ejection could
  * last longer than the back-off.
  */
-export function noteBackOff(view: UpstreamView, span: Milliseconds, now: Milliseconds): void {
+export function recordBackOff(view: UpstreamView, span: Milliseconds, now: Milliseconds): void {
   view.backOffUntil = extendBackOff(view.backOffUntil, span, now)
 }
 
--- a/packages/decisions/test/pickUpstreamLoad.test.ts
+++ b/packages/decisions/test/pickUpstreamLoad.test.ts
@@ -119,7 +119,7 @@
     sharedTokens: 13_000,
     prefixKey: `m ${prefix}`,
   }
-  const options = { dataCentre, random, prompt, knowsFarWork: false, bodyBytes: BODY_BYTES }
+  const options = { dataCentre, random, prompt, knowsRemoteWork: false, bodyBytes: BODY_BYTES }
   return pickUpstream(engines, options)!
 }
 
--- a/packages/gateway/src/requests/upstreamSearch.ts
+++ b/packages/gateway/src/requests/upstreamSearch.ts
@@ -63,11 +63,11 @@
   async find(prompt?: PrefillWork): Promise<Upstream | undefined> {
     const { services, admitted } = this.options
     const queue = services.upstreams.queueOf(admitted.service)
-    queue.waiters.add(this.#waiter)
+    queue.requests.add(this.#waiter)
     try {
       return await this.#awaitUpstream(queue, this.#query(prompt))
     } finally {
-      queue.waiters.delete(this.#waiter)
+      queue.requests.delete(this.#waiter)
     }
   }
 
--- a/packages/gateway/src/tasks/advertisementTask.ts
+++ b/packages/gateway/src/tasks/advertisementTask.ts
@@ -69,7 +69,7 @@
   recordAnswer(upstream: Upstream, head: ResponseHead, sentAt: Milliseconds): void {
     const { status, fields } = head
     const { run, advertised } = upstream
-    if (fields.malformedHeaders) this.#recordUnreadable(run, fields.malformedHeaders)
+    if (fields.malformedHeaders) this.#recordMalformed(run, fields.malformedHeaders)
     if (!isFromRun(head, upstream)) return
     if (fields.limit !== undefined || advertised.limit) this.#recordLimit(run, head, sentAt)
     if (fields.isLeaving && this.#recordLeaving(run, 'answer'))
@@ -181,11 +181,11 @@
     if (this.options.clock.now() >= advertised.backOffUntil) advertised.backOffUntil = NO_BACK_OFF
   }
 
-  #recordUnreadable(run: string, unreadable: readonly string[]): void {
+  #recordMalformed(run: string, malformedHeaders: readonly string[]): void {
     const advertised = this.stateOf(run)
     if (advertised.hasLoggedMalformed) return
     advertised.hasLoggedMalformed = true
-    this.#logAdvertisement('unreadable', run, { unreadable })
+    this.#logAdvertisement('unreadable', run, { unreadable: malformedHeaders })
   }
 
   #logAdvertisement(kind: string, run: string, fields: object): void {
--- a/packages/gateway/src/tasks/upstreamDirectory.ts
+++ b/packages/gateway/src/tasks/upstreamDirectory.ts
@@ -127,12 +127,12 @@
     const admitted = trial ? keepTrialUpstreams(preferred, trial) : preferred
     const usable = isolateSuspects(admitted, crashes, this.options.suspects.trialsAt())
     if (!prompt) return pickUpstream(usable, { random, dataCentre })
-    const knowsFarWork = this.options.knowsRemoteWork()
+    const knowsRemoteWork = this.options.knowsRemoteWork()
     return pickUpstream(usable, {
       random,
       dataCentre,
       prompt,
-      knowsRemoteWork: knowsFarWork,
+      knowsRemoteWork,
       bodyBytes,
     })
   }
@@ -320,8 +320,8 @@
   #isCandidate(upstream: Upstream, query: UpstreamQuery, now: Milliseconds): boolean {
     const { connectionPool } = upstream
     const { budget } = this.options
-    const hasChannel = connectionPool.idle > 0 || connectionPool.open < query.connectionLimit
-    if (!hasChannel || !this.#isEligible(upstream, query)) return false
+    const hasConnection = connectionPool.idle > 0 || connectionPool.open < query.connectionLimit
+    if (!hasConnection || !this.#isEligible(upstream, query)) return false
     return query.queuedAhead ? !budget.isThrottled(upstream, now) : budget.admits(upstream, now)
   }
 
@@ -329,13 +329,13 @@
     const now = this.options.clock.now()
     const known = this.#upstreams.get(entry.id)
     if (!known) {
-      const channels = this.options.openConnectionPool(entry.address)
+      const connectionPool = this.options.openConnectionPool(entry.address)
       const health = createExchangeHealth(now)
       this.#upstreams.set(entry.id, {
         listed: entry,
         run: runIdOf(entry),
         nameHash: hashText(entry.id),
-        connectionPool: channels,
+        connectionPool,
         health,
         inFlight: 0,
         load: 0,
--- a/packages/gateway/test/advertisementSimulation.ts
+++ b/packages/gateway/test/advertisementSimulation.ts
@@ -266,9 +266,9 @@
     let status: number | undefined
     let retryAfter: Milliseconds | undefined
     const finish = (isComplete: boolean) => {
-      const took = elapsed() - sentAt
+      const latency = elapsed() - sentAt
       const isServed = isComplete && status === 200
-      ended.push({ at: sentAt, route, isServed, latency: took, status, retryAfter })
+      ended.push({ at: sentAt, route, isServed, latency, status, retryAfter })
     }
     box.gateway.handle(
       {
--- a/packages/gateway/test/upstreamConnectionPool.test.ts
+++ b/packages/gateway/test/upstreamConnectionPool.test.ts
@@ -27,7 +27,7 @@
 }
 
 function sendOne(address: string, onChunk: () => void): Promise<Ending> {
-  const channels = new UpstreamConnectionPool(address, new ManualClock())
+  const connectionPool = new UpstreamConnectionPool(address, new ManualClock())
   return new Promise(resolve => {
     const listener: ExchangeListener = {
       onHead() {},
@@ -35,11 +35,11 @@
       onEnd: () => resolve('whole'),
       onFailure: () => resolve('failed'),
     }
-    channels.send(REQUEST, listener)
+    connectionPool.send(REQUEST, listener)
   })
 }
 
-describe('UpstreamChannels', () => {
+describe('UpstreamConnectionPool', () => {
   it('fails an answer without a length when the connection is reset', async () => {
     let upstream: Socket | undefined
     const { server, address } = await startNonReadingServer(socket => {
@@ -81,18 +81,18 @@
       socket.on('data', () => socket.write('HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'))
       socket.resume()
     })
-    const channels = new UpstreamConnectionPool(address, new ManualClock())
+    const connectionPool = new UpstreamConnectionPool(address, new ManualClock())
     const send = (onNewConnection: boolean) =>
       new Promise<void>(resolve => {
         const listener = { onHead() {}, onChunk() {}, onFailure: () => resolve() }
-        channels.send({ ...REQUEST, onNewConnection }, { ...listener, onEnd: resolve })
+        connectionPool.send({ ...REQUEST, onNewConnection }, { ...listener, onEnd: resolve })
       })
     await send(false)
     await send(false)
     expect(connections).to.equal(1)
     await send(true)
     expect(connections).to.equal(2)
-    channels.retire()
+    connectionPool.retire()
     server.close()
   })
 })
--- a/packages/proof/src/measures/policyCost.ts
+++ b/packages/proof/src/measures/policyCost.ts
@@ -157,12 +157,17 @@
     spent += cost
     const isLast = stage === costs.length - 1
     if (isLast || !choice.isJudged(stage)) {
-      scheduleRating(request, model, { promised: choice.promised }, simulation)
+      scheduleRating(request, model, { predictedQuality: choice.predictedQuality }, simulation)
       return { cost: spent, good: request.good[model]! }
     }
     const bucket = quality.recordAnswer(kind.name, model, confidence[model]!)
     if (!choice.accepts(stage, confidence[model]!)) continue
-    scheduleRating(request, model, { bucket, promised: choice.promised }, simulation)
+    scheduleRating(
+      request,
+      model,
+      { bucket, predictedQuality: choice.predictedQuality },
+      simulation,
+    )
     return { cost: spent, good: request.good[model]! }
   }
   throw new Error('the cascade has no stage')
@@ -171,20 +176,20 @@
 function scheduleRating(
   request: CostRequest,
   model: string,
-  observation: { bucket?: number; promised: number | undefined },
+  observation: { bucket?: number; predictedQuality: number | undefined },
   simulation: CostSimulation,
 ): void {
   const { clock, random, quality } = simulation
   if (random() >= RATED_FRACTION) return
   const { organisation, kind, good } = request
-  const { bucket, promised } = observation
+  const { bucket, predictedQuality } = observation
   const answer: ServedAnswer = {
     organisation,
     kind: kind.name,
     model,
     version: '1',
     ...(bucket !== undefined && { bucket }),
-    ...(promised !== undefined && { predictedQuality: promised }),
+    ...(predictedQuality !== undefined && { predictedQuality }),
   }
   clock.after(RATING_DELAY_MILLISECONDS, () => quality.recordRating(answer, good[model]!))
 }
--- a/packages/proof/src/measures/slopes.ts
+++ b/packages/proof/src/measures/slopes.ts
@@ -60,7 +60,7 @@
 }
 
 /** CPU time in seconds, user and system, of this process during `run`. */
-async function processorSecondsDuring(run: () => Promise<void>): Promise<number> {
+async function cpuSecondsDuring(run: () => Promise<void>): Promise<number> {
   const usageBefore = process.cpuUsage()
   await run()
   const used = process.cpuUsage(usageBefore)
@@ -78,9 +78,7 @@
   system.network.countsBytes = true
   await system.start()
   const before = { ...system.table.counts, ...system.network.counts }
-  const processor = await processorSecondsDuring(() =>
-    system.clock.advance(SIMULATED_SECONDS * 1_000),
-  )
+  const processor = await cpuSecondsDuring(() => system.clock.advance(SIMULATED_SECONDS * 1_000))
   const after = { ...system.table.counts, ...system.network.counts }
   const perBox = (value: number) => value / boxCount / SIMULATED_SECONDS
   const add = createRowAdder(rows, 'boxes', String(boxCount))
@@ -116,9 +114,7 @@
     rows: DEMO_ROWS,
   })
   await system.start()
-  const processor = await processorSecondsDuring(() =>
-    system.clock.advance(SIMULATED_SECONDS * 1_000),
-  )
+  const processor = await cpuSecondsDuring(() => system.clock.advance(SIMULATED_SECONDS * 1_000))
   const add = createRowAdder(rows, 'upstreams', String(count))
   add('watchCoreShare', 'share of a core', processor / SIMULATED_SECONDS)
 }
--- a/packages/soak/src/checks/advertisementChecks.ts
+++ b/packages/soak/src/checks/advertisementChecks.ts
@@ -10,7 +10,7 @@
 /** Time for a limit to reach all boxes after the first answer that states it. */
 const LIMIT_PROPAGATION_DELAY: Milliseconds = 3_000
 /** Time for a box to apply an advertisement after it received the answer. */
-const STATEMENT_DELAY: Milliseconds = 500
+const ADVERTISEMENT_DELAY: Milliseconds = 500
 const LIMIT_WINDOW: Milliseconds = 4_000
 const LIMIT_TOLERANCE_FACTOR = 1.5
 const LIMIT_SLACK_REQUESTS = 5
@@ -51,7 +51,7 @@
     const box = evidence.boxOf(id)
     const receivedAt = received.get(`${box} ${instance}`) ?? Infinity
     return (
-      at > receivedAt + STATEMENT_DELAY + SCHEDULING_TOLERANCE &&
+      at > receivedAt + ADVERTISEMENT_DELAY + SCHEDULING_TOLERANCE &&
       evidence.isFaultFree(box, at - FAULT_SETTLE_DURATION, at, affectsBoxes)
     )
   })
@@ -105,7 +105,7 @@
         const arrivals = evidence.arrivals.filter(
           arrival =>
             arrival.instance === instance &&
-            arrival.at > at + STATEMENT_DELAY + SCHEDULING_TOLERANCE &&
+            arrival.at > at + ADVERTISEMENT_DELAY + SCHEDULING_TOLERANCE &&
             arrival.at < endsAt &&
             evidence.boxOf(arrival.id) === box,
         )
