--- a/packages/box/src/requests/answerCompletion.ts
+++ b/packages/box/src/requests/answerCompletion.ts
@@ -2,9 +2,9 @@
 import { Result } from 'true-myth'
 import type { RequestContext } from '../types/context.js'
 import { answerRefusal } from './answerRefusal.js'
-import { RequestBill } from './billKeeper.js'
+import { RequestBill } from './requestBill.js'
 import type { CompletionTask } from './completionTask.js'
-import { answerScored, scoreStage, type ScoredAnswer } from './judgeStage.js'
+import { answerScored, scoreStage, type ScoredAnswer } from './scoreStage.js'
 import { parseCompletion, type Completion } from './parseCompletion.js'
 import { relayCompletion } from './relayCompletion.js'
 import { resolveSession } from './resolveSession.js'
@@ -61,7 +61,7 @@
     models.map(model => stageCosts(task, model)),
     mayBufferAnswer(context, completion),
   )
-  task.promised = choice.promised
+  task.predictedQuality = choice.predictedQuality
   let fallback: ScoredAnswer | undefined
   for (let stage = choice.start; stage < models.length; stage++) {
     const version = task.versions.versionOf(models[stage]!)
--- a/packages/box/src/tasks/qualityTask.ts
+++ b/packages/box/src/tasks/qualityTask.ts
@@ -2,11 +2,11 @@
   bucketOf,
   correctedTarget,
   countsOf,
-  createPromiseCheck,
+  createQualityCalibration,
   DELAY_PRICES,
-  noteAnswer,
-  notePromise,
-  noteRating,
+  countAnswer,
+  recordPrediction,
+  countRating,
   planCascade,
   ratedCount,
   resolveBuckets,
@@ -15,10 +15,10 @@
   type Clock,
   type LimitRow,
   type Milliseconds,
-  type PromiseCheck,
+  type QualityCalibration,
   type QualityEstimates,
   type Random,
-  type StageOutlook,
+  type StageEstimate,
 } from '@yewkeel/decisions'
 import type { ServedAnswer } from './exposureTask.js'
 
@@ -59,7 +59,7 @@
 export interface CascadeChoice {
   start: number
   /** Probability of a good answer by the plan, also when the request explores another stage. */
-  promised: number
+  predictedQuality: number
   /** Whether the stage's answer is judged before it is sent. */
   isJudged(stage: number): boolean
   /** Whether an answer of this confidence is sent; otherwise the next stage runs. */
@@ -88,7 +88,7 @@
 export class QualityTask {
   readonly #estimates: QualityEstimates = new Map()
   /** Corrects the bias of the quality estimates, and like them is shared by all organisations. */
-  readonly #promiseCheck: PromiseCheck = createPromiseCheck()
+  readonly #calibration: QualityCalibration = createQualityCalibration()
   readonly #organisations = new Map<string, OrganisationState>()
 
   constructor(private readonly options: QualityTaskOptions) {}
@@ -105,30 +105,31 @@
     const requestKind = recordRequest(state, kind, stages, mayWait)
     this.#refreshPlan(state, requestKind, limit)
     const plan = requestKind.plan!
-    const promised = plan.stages[plan.start]?.expectedQuality ?? 1
+    const predictedQuality = plan.stages[plan.start]?.expectedQuality ?? 1
     const start = this.#explore(kind, stages) ?? plan.start
     if (mayWait && this.#isCalibrationRequest(kind, stages[start]!.model)) {
-      return { start, promised, isJudged: () => true, accepts: () => true }
+      return { start, predictedQuality, isJudged: () => true, accepts: () => true }
     }
     return {
       start,
-      promised,
+      predictedQuality,
       isJudged: stage => mayWait && plan.stages[stage]?.accepts !== undefined,
       accepts: (stage, confidence) => plan.stages[stage]?.accepts?.[bucketOf(confidence)] ?? true,
     }
   }
 
   /** Records an answer and returns its confidence bucket. */
-  noteAnswer(kind: string, model: string, confidence: number): number {
+  recordAnswer(kind: string, model: string, confidence: number): number {
     const bucket = bucketOf(confidence)
-    noteAnswer(countsOf(this.#estimates, kind, model), bucket, this.options.clock.now())
+    countAnswer(countsOf(this.#estimates, kind, model), bucket, this.options.clock.now())
     return bucket
   }
 
-  noteRating(answer: ServedAnswer, good: boolean): void {
-    if (answer.promised !== undefined) notePromise(this.#promiseCheck, answer.promised, good)
+  recordRating(answer: ServedAnswer, good: boolean): void {
+    if (answer.predictedQuality !== undefined)
+      recordPrediction(this.#calibration, answer.predictedQuality, good)
     const counts = countsOf(this.#estimates, answer.kind, answer.model)
-    noteRating(counts, answer.bucket, good, this.options.clock.now())
+    countRating(counts, answer.bucket, good, this.options.clock.now())
   }
 
   #refreshPlan(state: OrganisationState, kind: RequestKind, limit: LimitRow): void {
@@ -141,7 +142,7 @@
       }))
       state.price = solveQualityPrice(
         outlooks,
-        correctedTarget(this.#promiseCheck, limit.qualityTarget),
+        correctedTarget(this.#calibration, limit.qualityTarget),
       )
     }
     if (kind.plan && now - kind.plannedAt < PLAN_TTL) return
@@ -151,7 +152,7 @@
   }
 
   #outlookOf({ name, stages, mayWait }: RequestKind, limit: LimitRow) {
-    const outlooks: StageOutlook[] = stages.map(stage => ({
+    const outlooks: StageEstimate[] = stages.map(stage => ({
       ...stage,
       buckets: resolveBuckets(countsOf(this.#estimates, name, stage.model)),
     }))
--- a/packages/gateway/test/badVersion.test.ts
+++ b/packages/gateway/test/badVersion.test.ts
@@ -4,7 +4,7 @@
   type BadVersion,
   type RolloutSimulation,
   type RolloutSimulationResult,
-} from './playedRollout.js'
+} from './rolloutSimulation.js'
 
 /** Of a service's requests that a bad version may receive; the setting `exposureLimit`. */
 const MAX_EXPOSURE_FRACTION = 0.15
@@ -57,7 +57,7 @@
     {
       at: 2_000,
       inject: ({ fleet }: RolloutSimulation) =>
-        fleet.boxes.forEach((box, number) => (box.isTurnedAway = number % 2 === 0)),
+        fleet.boxes.forEach((box, number) => (box.isStoreUnavailable = number % 2 === 0)),
     },
   ],
   'a third of the engines are four times slower': [
--- a/packages/gateway/test/upstreamChannels.test.ts
+++ b/packages/gateway/test/upstreamConnectionPool.test.ts
@@ -1,7 +1,11 @@
 import { createServer, type AddressInfo, type Socket } from 'node:net'
 import { ManualClock } from '@yewkeel/decisions'
 import { expect } from 'chai'
-import { UpstreamChannels, type ExchangeListener, type ExchangeRequest } from '../src/index.js'
+import {
+  UpstreamConnectionPool,
+  type ExchangeListener,
+  type ExchangeRequest,
+} from '../src/index.js'
 
 const REQUEST: ExchangeRequest = {
   method: 'POST',
@@ -23,7 +27,7 @@
 }
 
 function sendOne(address: string, onChunk: () => void): Promise<Ending> {
-  const channels = new UpstreamChannels(address, new ManualClock())
+  const connectionPool = new UpstreamConnectionPool(address, new ManualClock())
   return new Promise(resolve => {
     const listener: ExchangeListener = {
       onHead() {},
@@ -31,11 +35,11 @@
       onEnd: () => resolve('whole'),
       onFailure: () => resolve('failed'),
     }
-    channels.send(REQUEST, listener)
+    connectionPool.send(REQUEST, listener)
   })
 }
 
-describe('UpstreamChannels', () => {
+describe('UpstreamConnectionPool', () => {
   it('fails an answer without a length when the connection is reset', async () => {
     let upstream: Socket | undefined
     const { server, address } = await startNonReadingServer(socket => {
@@ -62,7 +66,7 @@
     await new Promise(resolve => server.close(resolve))
     const wasSent = await new Promise(resolve => {
       const listener = { onHead() {}, onChunk() {}, onEnd() {} }
-      new UpstreamChannels(address, new ManualClock()).send(REQUEST, {
+      new UpstreamConnectionPool(address, new ManualClock()).send(REQUEST, {
         ...listener,
         onFailure: (_error, sent) => resolve(sent),
       })
@@ -77,18 +81,18 @@
       socket.on('data', () => socket.write('HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'))
       socket.resume()
     })
-    const channels = new UpstreamChannels(address, new ManualClock())
+    const connectionPool = new UpstreamConnectionPool(address, new ManualClock())
     const send = (onNewConnection: boolean) =>
       new Promise<void>(resolve => {
         const listener = { onHead() {}, onChunk() {}, onFailure: () => resolve() }
-        channels.send({ ...REQUEST, onNewConnection }, { ...listener, onEnd: resolve })
+        connectionPool.send({ ...REQUEST, onNewConnection }, { ...listener, onEnd: resolve })
       })
     await send(false)
     await send(false)
     expect(connections).to.equal(1)
     await send(true)
     expect(connections).to.equal(2)
-    channels.retire()
+    connectionPool.retire()
     server.close()
   })
 })
--- a/packages/soak/src/world/callers.ts
+++ b/packages/soak/src/world/callers.ts
@@ -1,5 +1,5 @@
 import {
-  ADDRESSES_QUESTION,
+  DIRECTORY_QUERY,
   HOST,
   PATHS,
   readAddresses,
@@ -11,7 +11,7 @@
 import { pickWeighted, type Random } from '@yewkeel/decisions'
 import { Client, request, type Dispatcher } from 'undici'
 import type { Evidence } from '../checks/evidence.js'
-import type { Attempt, AttemptEnd } from '../checks/seen.js'
+import type { Attempt, AttemptEnd } from '../checks/observations.js'
 
 /** The addresses (`host:port`) at which callers reach a box. */
 export interface CallerTarget {
@@ -107,7 +107,7 @@
     const { targets, random } = this.options
     const target = targets[Math.floor(random() * targets.length)]!
     try {
-      const answer = await request(`http://${target.directoryAddress}${ADDRESSES_QUESTION}`, {
+      const answer = await request(`http://${target.directoryAddress}${DIRECTORY_QUERY}`, {
         signal: AbortSignal.timeout(DIRECTORY_TIMEOUT_MS),
       })
       const text = await answer.body.text()
