--- a/packages/proof/src/models/claimModel.ts
+++ b/packages/proof/src/models/claimModel.ts
@@ -38,8 +38,8 @@
 const MAX_FAULTS = 4
 
 /**
- * Claims on one call: attempts race, store answers are lost, boxes pause at any step, the store goes
- * down.
+ * Claims on one call: attempts race, store answers are lost, boxes pause at any step, the store
+ * goes down.
  */
 export function createClaimModel(mutation?: ClaimMutation): Model<ClaimState, ClaimAction> {
   const attempt = (): Attempt => ({
@@ -230,7 +230,7 @@
   state.row = { attempt, digest, step, version: (state.row?.version ?? 0) + 1 }
 }
 
-/** Acts on the existing claim as `decideClaim` says. */
+/** Acts on the existing claim as `decideClaim` decides. */
 function applyDecision(
   state: ClaimState,
   attempt: Attempt,
--- a/packages/proof/src/models/drainModel.ts
+++ b/packages/proof/src/models/drainModel.ts
@@ -32,7 +32,7 @@
 const LAST_TICK = 5
 const MAX_FAULTS = 2
 
-/** Planned shutdown of a box: callers hold its address, requests are in flight, the store is slow. */
+/** Planned stop of a box: callers hold its address, requests are in flight, the store is slow. */
 export function createDrainModel(mutation?: DrainMutation): Model<DrainModelState, DrainAction> {
   return {
     name: 'drain',
--- a/packages/proof/src/models/explore.ts
+++ b/packages/proof/src/models/explore.ts
@@ -1,7 +1,7 @@
 /**
  * Explicit-state model checker: explores every reachable state of a small model and checks the
- * invariants in each. `xstate/graph` does the traversal; this module records the predecessor of each
- * state, so that a violation has its shortest trace.
+ * invariants in each. `xstate/graph` does the traversal; this module records the predecessor of
+ * each state, so that a violation has its shortest trace.
  */
 import { createHash } from 'node:crypto'
 import { getAdjacencyMap } from 'xstate/graph'
--- a/packages/proof/src/models/leaseModel.ts
+++ b/packages/proof/src/models/leaseModel.ts
@@ -52,7 +52,7 @@
 /** In ticks. */
 const LIMITS = { holdFor: 1, lapseAfter: 2, renewEvery: 1 }
 
-/** A lease held by two boxes in turn: writes and orders are late, answers are lost, holders pause. */
+/** A lease of two boxes in turn: writes and orders are late, answers are lost, holders pause. */
 export function createLeaseModel(mutation?: LeaseMutation): Model<LeaseModelState, LeaseAction> {
   const limits =
     mutation === 'lapse before the holder gives up' ? { ...LIMITS, lapseAfter: 0 } : LIMITS
--- a/packages/proof/src/models/tableModel.ts
+++ b/packages/proof/src/models/tableModel.ts
@@ -118,9 +118,9 @@
 })
 
 /**
- * One withdrawal among three voters: boxes are partitioned, or restart without their state; heartbeats
- * and reads arrive late; the store goes down and loses answers. A box that takes no step is
- * partitioned or paused.
+ * One withdrawal among three voters: boxes are partitioned, or restart without their state;
+ * heartbeats and reads arrive late; the store goes down and loses answers. A box that takes no step
+ * is partitioned or paused.
  */
 export function createTableModel(
   mutation?: TableMutation,
@@ -289,8 +289,8 @@
 const EXPIRED_AT = -9
 
 /**
- * Merges states that differ only in values that no rule reads any more: the age of expired evidence,
- * and when a proposal was received.
+ * Merges states that differ only in values that no rule reads any more: the age of expired
+ * evidence, and when a proposal was received.
  */
 function normaliseExpiredEvidence(state: TableModelState): void {
   const oldestValid = state.now - MAX_STALENESS
--- a/packages/proof/src/world/bareForwarder.ts
+++ b/packages/proof/src/world/bareForwarder.ts
@@ -2,7 +2,7 @@
 import type { AddressInfo } from 'node:net'
 import { Pool } from 'undici'
 
-/** Starts a plain reverse proxy on the same HTTP libraries: the baseline of the overhead measure. */
+/** Starts a plain reverse proxy on a box's HTTP libraries: the baseline of the overhead measure. */
 export async function startBareForwarder(upstream: string): Promise<string> {
   const pool = new Pool(`http://${upstream}`, { pipelining: 1, headersTimeout: 0, bodyTimeout: 0 })
   const server = createServer(async (message, response) => {
--- a/packages/proof/src/world/virtualSystem.ts
+++ b/packages/proof/src/world/virtualSystem.ts
@@ -148,8 +148,8 @@
   }
 
   /**
-   * Replaces the handler of an upstream and returns the previous one. Without a handler, connections
-   * to the upstream are refused.
+   * Replaces the handler of an upstream and returns the previous one. Without a handler,
+   * connections to the upstream are refused.
    */
   setHandler(name: string, handler: StandInHandler | undefined): StandInHandler | undefined {
     const previous = this.#handlers.get(name)
--- a/packages/soak/src/checks/advertisementChecks.ts
+++ b/packages/soak/src/checks/advertisementChecks.ts
@@ -59,7 +59,7 @@
 
 /**
  * Requests that an upstream's limits allow in the window from `from` on; Infinity if it states none
- * at some time.
+ * for a part of it.
  */
 function allowedRequests(
   { advertisementSpans }: Evidence,
@@ -128,8 +128,8 @@
       .map(({ id, instance }) => `${id} reached ${instance} after it had said that it leaves`)
   },
 
-  // A single request since the advertisement's end is enough: with little traffic, load balancing may
-  // skip an upstream.
+  // A single request since the advertisement's end is enough: with little traffic, load balancing
+  // may skip an upstream.
   'used-again': evidence => {
     const from = evidence.faultsEndedAt + FAULT_SETTLE_DURATION
     const spans = evidence.advertisementSpans.filter(
--- a/packages/soak/src/checks/observations.ts
+++ b/packages/soak/src/checks/observations.ts
@@ -58,7 +58,7 @@
   | 'own-answer'
   /** A call on the `unsafe` route is executed at most once. */
   | 'once'
-  /** A call refused with a status that says so was not executed. */
+  /** A call refused with a status that means "not executed" was not executed. */
   | 'not-run'
   /** A stream has no gap, and is complete if it ends as complete. */
   | 'whole-stream'
--- a/packages/soak/src/runSeed.ts
+++ b/packages/soak/src/runSeed.ts
@@ -59,7 +59,7 @@
   outputs: Record<string, string>
 }
 
-/** Shorter than those of the sites, to keep runs short. */
+/** Shorter than in a real deployment, to keep runs short. */
 const BOUNDS: DeploymentBounds = {
   keyRevocation: 5_000,
   newsWithin: 2_000,
@@ -160,8 +160,8 @@
 }
 
 /**
- * Whether a pause of a box simulates a suspension of its machine. Lower seeds never do, so that
- * regressions replay unchanged.
+ * Whether a pause of a box simulates a suspension of its machine. Never for seeds below
+ * `FIRST_SEED_WITH_CRASHES`, so that regressions replay unchanged.
  */
 function pausesAsSuspension(seed: number): boolean {
   return seed >= FIRST_SEED_WITH_CRASHES && seed % 3 === 0
--- a/packages/soak/src/world/rollout.ts
+++ b/packages/soak/src/world/rollout.ts
@@ -76,7 +76,7 @@
 
 /**
  * Orders a rollout, starts the target's upstreams and, once the boxes decide, stops those of the
- * other version.
+ * version that is not kept.
  */
 export class Rollout {
   #timer: NodeJS.Timeout | undefined
--- a/packages/soak/src/world/upstreams.ts
+++ b/packages/soak/src/world/upstreams.ts
@@ -125,7 +125,7 @@
     await this.#handOver(slot, proxy)
   }
 
-  /** Starts the successor of a slot's upstream, which then drains behind `proxy` and exits. */
+  /** Starts a slot's next upstream; the current one drains behind `proxy` and then exits. */
   async #handOver(slot: UpstreamSlot, proxy: LoopbackProxy): Promise<void> {
     const draining = slot.standIn
     slot.standIn = await this.#startSuccessor(slot)
