--- a/packages/proof/test/restingUpstream.test.ts
+++ b/packages/proof/test/restingUpstream.test.ts
@@ -13,6 +13,7 @@
 const BOXES = 3
 /** Time after the back-off ends by which requests must arrive again. */
 const RECOVERY_TIMEOUT: Milliseconds = 1_000
+/** The two engines must accept more requests than this; callers send 30 in that time. */
 const MIN_ACCEPTED = 3
 
 const completion = {
