--- a/packages/gateway/src/createGateway.ts
+++ b/packages/gateway/src/createGateway.ts
@@ -76,7 +76,7 @@
   stop(): Promise<void>
 }
 
-/** Liveness and freshness checks tolerate four lost rounds. */
+/** Liveness and freshness checks allow four rounds without a message. */
 const GOSSIP_INTERVAL: Milliseconds = 400
 const ROLLOUT_INTERVAL: Milliseconds = 100
 /** Announcements within this time are sent together. */
--- a/packages/gateway/src/node/runGateway.ts
+++ b/packages/gateway/src/node/runGateway.ts
@@ -43,7 +43,7 @@
 const MAX_GOSSIP_BACKLOG_BYTES = 512 * 1024
 /** Messages from this size are compressed: configurations and lists, but not gossip. */
 const MIN_COMPRESSED_BYTES = 8 * 1024
-/** Delay before a draining box closes idle connections; callers refresh their addresses meanwhile. */
+/** A draining box closes idle connections after this: callers refresh their addresses meanwhile. */
 const IDLE_CLOSE_DELAY: Milliseconds = 1_500
 const MIN_DRAIN_DURATION: Milliseconds = 2_500
 const DRAIN_POLL_INTERVAL: Milliseconds = 100
--- a/packages/gateway/src/requests/forwardCall.ts
+++ b/packages/gateway/src/requests/forwardCall.ts
@@ -86,7 +86,7 @@
   return { kind, head, body }
 }
 
-/** Statuses that tell a caller that its request was not processed. */
+/** Statuses that indicate to a caller that its request was not processed. */
 const NOT_RUN_STATUSES = new Set([408, MISDIRECTED, 429, 503])
 
 type AnswerKind = 'answer' | 'failure' | 'not-run' | 'spoiled'
--- a/packages/gateway/src/requests/forwardStream.ts
+++ b/packages/gateway/src/requests/forwardStream.ts
@@ -172,7 +172,7 @@
     return false
   }
 
-  /** The larger model to escalate to, if the confidence is too low and time and attempts allow it. */
+  /** The larger model to escalate to, if confidence is too low and time and attempts allow it. */
   #largerModel(head: ResponseHead, model: string | undefined): string | undefined {
     const { request, relay } = this
     if (model === undefined || relay.hasStarted || !request.canAttempt()) return undefined
--- a/packages/gateway/src/requests/forwardedRequest.ts
+++ b/packages/gateway/src/requests/forwardedRequest.ts
@@ -35,7 +35,7 @@
  * single answer.
  */
 export class ForwardedRequest {
-  /** Upstream processes that are excluded from further attempts. */
+  /** Runs of upstreams that are excluded from further attempts. */
   readonly tried: string[] = []
   readonly #attempts: AttemptTracker
   isOver = false
@@ -325,7 +325,7 @@
     if (this.isOver) return
     const headers = this.services.dialect.writeResponse(head.headers)
     const { isFramed } = head.fields
-    // Without a length nobody can tell whether the answer is complete, so none is added.
+    // An unframed answer may be truncated; a length would make it look complete.
     if (isFramed) headers.push('content-length', String(body.length))
     this.answer.start(head.status, headers, isFramed)
     this.answer.end(body)
--- a/packages/gateway/src/requests/upstreamSearch.ts
+++ b/packages/gateway/src/requests/upstreamSearch.ts
@@ -14,7 +14,7 @@
 export interface UpstreamSearchOptions {
   services: GatewayServices
   admitted: AdmittedRequest
-  /** Upstream processes to exclude; grows with each attempt. */
+  /** Runs of upstreams to exclude; grows with each attempt. */
   tried: readonly string[]
   /** Versions that the request may use. */
   admits(version: string): boolean
--- a/packages/gateway/src/tasks/entryTask.ts
+++ b/packages/gateway/src/tasks/entryTask.ts
@@ -11,7 +11,7 @@
   isFirstStart: boolean
   /** Whether this box is the one that removes the entries of silent boxes. */
   removesSilentEntries(): boolean
-  /** Names of registered boxes without a report. */
+  /** Names of registered boxes that have been silent for long. */
   silentEntries(): string[]
   onEntries(entries: readonly BoxEntry[]): void
 }
--- a/packages/gateway/src/tasks/isolateSuspects.ts
+++ b/packages/gateway/src/tasks/isolateSuspects.ts
@@ -7,8 +7,8 @@
 /**
  * Filters the candidates of a request so that crash suspects, requests under which an upstream
  * crashed, are tried apart. A suspect avoids upstreams that run other suspects, so that a crash
- * implicates one of them; from `MIN_CRASHES_FOR_RESERVATION` crashes on it goes to the least loaded of the rest.
- * Other requests avoid reserved upstreams, unless too many are reserved.
+ * implicates one of them; from `MIN_CRASHES_FOR_RESERVATION` crashes on it goes to the least loaded
+ * of the rest. Other requests avoid reserved upstreams, unless too many are reserved.
  */
 export function isolateSuspects(
   candidates: readonly Upstream[],
--- a/packages/gateway/src/tasks/knownBoxes.ts
+++ b/packages/gateway/src/tasks/knownBoxes.ts
@@ -83,7 +83,7 @@
     return [...this.#boxes.values()].filter(({ lastReportAt }) => now - lastReportAt < SILENT_AFTER)
   }
 
-  /** Names of registered boxes without a report, other than this one. */
+  /** Names of other registered boxes without a report in the last `EXPIRED_AFTER`. */
   silentEntries(): string[] {
     return [...this.#entries.keys()].filter(box => box !== this.self && !this.#boxes.has(box))
   }
--- a/packages/gateway/src/tasks/peerTask.ts
+++ b/packages/gateway/src/tasks/peerTask.ts
@@ -232,7 +232,7 @@
     return hasEntries ? [...entries.filter(({ box }) => box !== self.box), self] : []
   }
 
-  /** Names of registered boxes without a report. */
+  /** Names of registered boxes that have been silent for long. */
   silentEntries(): string[] {
     return this.#known.silentEntries()
   }
--- a/packages/gateway/src/tasks/quarantineTask.ts
+++ b/packages/gateway/src/tasks/quarantineTask.ts
@@ -29,9 +29,9 @@
 const MAX_WRITE_ATTEMPTS = 3
 
 /**
- * Stores quarantined requests, which are rejected because they crash upstreams. The
- * store preserves them when all boxes restart at once. A starting box receives them from its
- * neighbours; only if none has them do the readers read the store.
+ * Stores quarantined requests, which are rejected because they crash upstreams. The store preserves
+ * them when all boxes restart at once. A starting box receives them from its neighbours; only if
+ * none has them do the readers read the store.
  */
 export class QuarantineTask {
   /** Whether this box has all entries from before it started. */
--- a/packages/gateway/src/tasks/relayedReports.ts
+++ b/packages/gateway/src/tasks/relayedReports.ts
@@ -13,7 +13,10 @@
   isStoreLost: boolean
 }
 
-/** Entry layout: box hash (4 bytes), run (2), sequence (4), flags (1). */
+/**
+ * Entry layout: box hash (4 bytes), run (2), sequence (4), flags (1). Packed, since without a full
+ * mesh entries are most of the gossip: each box receives all of them from each neighbour.
+ */
 const ENTRY_BYTES = 11
 const RUN_AT = 4
 const SEQUENCE_AT = 6
--- a/packages/gateway/src/tasks/rolloutTask.ts
+++ b/packages/gateway/src/tasks/rolloutTask.ts
@@ -98,7 +98,7 @@
       : this.options.clock.now() + this.#storeOffset
   }
 
-  /** This box's answer counts for gossip; empty without a rollout under way. */
+  /** This box's answer counts for gossip; empty unless a rollout is in progress. */
   get answers(): AnswerCount[] {
     return this.isUnderWay ? this.evaluator.counts : []
   }
@@ -208,7 +208,7 @@
 
   /**
    * Returns a predicate of the versions that a request may run on. The draw is kept so that all
-   * tries agree, and repeated after a change of orders, statuses or verdicts, so that running
+   * attempts agree, and repeated after a change of orders, statuses or verdicts, so that running
    * requests leave a bad version.
    */
   admission(service: string, session: string | undefined): (version: string) => boolean {
--- a/packages/gateway/src/tasks/sendBudget.ts
+++ b/packages/gateway/src/tasks/sendBudget.ts
@@ -25,9 +25,9 @@
   overage(): GatewayLimits['coldOverage']
   /** Increases with each change of `boxes()`. */
   boxesVersion(): number
-  /** The registered boxes, including this one; empty until the registry has been read. */
+  /** The registered boxes, including this one; empty until their entries have been read. */
   boxes(): readonly BoxLocation[]
-  /** Number of registered boxes; 0 until the registry has been read. */
+  /** Number of registered boxes; 0 until their entries have been read. */
   boxCount(): number
   /** Number of listed upstreams that advertise a rate limit. */
   limitedCount(): number
@@ -189,7 +189,7 @@
     const { nameHash, listed } = upstream
     const ranked = sendersOf({ nameHash, dataCentre: listed.dataCentre, turn }, places, rate)
     // Without known boxes no sender can be selected: a limited upstream may then be sent to, a cold
-    // one waits for the list.
+    // one waits for the boxes' entries.
     const isUnassigned = source === 'limit' && places.length === 0
     const isSender = isUnassigned || ranked.some(({ box }) => box === self)
     selections.set(upstream, { key, isSender })
--- a/packages/gateway/src/tasks/storeReader.ts
+++ b/packages/gateway/src/tasks/storeReader.ts
@@ -30,7 +30,10 @@
 
 /** Longest wait of a long poll, as a share of `newsWithin`. */
 const LONG_POLL_SHARE = 0.3
-/** Interval of list reads, as a share of `newsWithin`. */
+/**
+ * Interval of list reads, as a share of `newsWithin`: below half, so that a leaving upstream is
+ * known within half of it.
+ */
 const LIST_READ_SHARE = 0.4
 /**
  * Age of the newest confirmation of the list from any box that counts as a store outage, as a share
@@ -38,8 +41,8 @@
  */
 const OUTAGE_SHARE = 0.9
 /**
- * Minimum age that counts as an outage: entries expire after three missed heartbeats of 1.2 s, so
- * none expires in a shorter one.
+ * Minimum age that counts as an outage. Entries expire three heartbeat intervals of 1.2 s after
+ * their last heartbeat, so that the first expire at least two intervals into an outage.
  */
 const MIN_OUTAGE_AGE: Milliseconds = 2_300
 /** Interval of calls to a store that does not answer, while gossip keeps the box up to date. */
--- a/packages/gateway/src/tasks/upstreamDirectory.ts
+++ b/packages/gateway/src/tasks/upstreamDirectory.ts
@@ -92,7 +92,7 @@
     })
   }
 
-  /** Stops new requests to upstreams in these data centres. Running exchanges continue. */
+  /** Stops new requests to upstreams in these data centres. Exchanges in flight continue. */
   evacuate(dataCentres: readonly string[]): void {
     const before = this.#evacuated
     this.#evacuated = new Set(dataCentres)
@@ -138,8 +138,8 @@
   }
 
   /**
-   * Keeps rejected requests away from throttled upstreams while others are available, so that one
-   * request does not spend all its tries on them.
+   * Keeps retried requests away from throttled upstreams while others are available, so that one
+   * request does not spend all its attempts on them.
    */
   #preferUnthrottled(candidates: Upstream[], now: Milliseconds): Upstream[] {
     const free = candidates.filter(upstream => !this.options.budget.isThrottled(upstream, now))
@@ -253,7 +253,7 @@
     return false
   }
 
-  /** This box's running exchanges by version of a service. */
+  /** This box's exchanges in flight by version of a service. */
   inFlight(service: string): Map<string, number> {
     const counts = new Map<string, number>()
     for (const { listed, inFlight } of this.#upstreams.values()) {
--- a/packages/gateway/src/types/gossip.ts
+++ b/packages/gateway/src/types/gossip.ts
@@ -87,7 +87,7 @@
   /** Advertisements of upstreams: sent on request after a connection, and immediately when new. */
   | { type: 'statements-wanted' }
   | { type: 'statements'; entries: Advertisement[] }
-  /** Requests all that the receiver knows of crash suspects. */
+  /** Requests all crash suspects that the receiver has. */
   | { type: 'suspects-wanted' }
   /**
    * `isComplete`: contains all requests quarantined so far. Only in replies to `suspects-wanted`.
--- a/packages/gateway/src/types/ports.ts
+++ b/packages/gateway/src/types/ports.ts
@@ -149,7 +149,7 @@
 /** Reads and writes the headers of requests and responses. */
 export interface Dialect {
   readRequest(headers: RawHeaders): RequestFields
-  /** Returns the caller's headers without hop-by-hop ones, with those that the box sets replaced. */
+  /** Returns the caller's headers without hop-by-hop ones; those that the box sets are replaced. */
   writeRequest(headers: RawHeaders, fields: OutgoingFields): string[]
   readResponse(headers: RawHeaders): ResponseFields
   /** Returns the headers of an upstream's response that are forwarded to the caller. */
--- a/packages/gateway/src/types/settings.ts
+++ b/packages/gateway/src/types/settings.ts
@@ -4,7 +4,7 @@
 export interface GatewayLimits {
   /** Maximum time for which a revoked key may still be accepted; undefined for no limit. */
   keyRevocation?: Milliseconds | undefined
-  /** Maximum time until all boxes know of operator changes and draining upstreams. */
+  /** Maximum time until all boxes have operator changes and the draining of upstreams. */
   newsWithin: Milliseconds
   /** How long callers cache the addresses of boxes. */
   addressLifetime: Milliseconds
--- a/packages/gateway/test/badVersion.test.ts
+++ b/packages/gateway/test/badVersion.test.ts
@@ -6,7 +6,7 @@
   type RolloutSimulationResult,
 } from './rolloutSimulation.js'
 
-/** Of a service's requests that a bad version may receive; the setting `exposureLimit`. */
+/** Share of a service's requests that a bad version may receive; the setting `exposureLimit`. */
 const MAX_EXPOSURE_FRACTION = 0.15
 /** In requests. */
 const EXPOSURE_SLACK = 30
--- a/packages/gateway/test/gateway.test.ts
+++ b/packages/gateway/test/gateway.test.ts
@@ -387,7 +387,7 @@
     const routes = [createTestRoute({ isPublic: false })]
     const running = await start([await startUpstream('u1', succeeds)], { routes, organisations })
     running.store.isOut = true
-    // 1 s of the 5 s is the margin for feed silence; the last proof is up to 0.6 s old at the outage.
+    // About 1 s of the 5 s is the margin; the last confirmation is up to 0.6 s old at the outage.
     await running.clock.advance(3_200)
     expect((await sendRequest(running, { key: 'k1' })).status).to.equal(200)
     await running.clock.advance(800)
--- a/packages/gateway/test/poisonRequest.test.ts
+++ b/packages/gateway/test/poisonRequest.test.ts
@@ -136,7 +136,7 @@
       }
     })
 
-  it('is not run by restarted boxes, which learn of it from a peer or from the store', async () => {
+  it('is not run by restarted boxes, which receive it from a peer or from the store', async () => {
     for (const count of [1, 6]) {
       const faults = [{ at: 12_000, inject: restartBoxes(count) }]
       const { poisonRequests } = await simulateCrashes({ ...ONE_STREAM, faults })
