--- a/packages/decisions/src/allowances/allowance.ts
+++ b/packages/decisions/src/allowances/allowance.ts
@@ -47,7 +47,8 @@
 /** The smallest draw, as a share of the daily limit. */
 const MIN_DRAW_SHARE = 1 / 200
 /**
- * Largest draw as a share of the undrawn amount, so that all boxes get a part of the last of it.
+ * Largest draw as a share of the undrawn amount, unless a waiting request requires more; all boxes
+ * get a part of the last of it.
  */
 const MAX_SHARE_OF_UNDRAWN = 1 / 10
 
--- a/packages/decisions/src/budgets/advertisedLimit.ts
+++ b/packages/decisions/src/budgets/advertisedLimit.ts
@@ -45,8 +45,8 @@
 }
 
 /**
- * Interval at which an unchanged limit is gossiped again. `limitedCount`: number of upstreams with a
- * limit.
+ * Interval at which an unchanged limit is gossiped again. `limitedCount`: number of upstreams with
+ * a limit.
  */
 export function gossipInterval(limitedCount: number): Milliseconds {
   const spread = (limitedCount * SECOND) / MAX_GOSSIP_PER_SECOND
--- a/packages/decisions/src/crashes/suspicion.ts
+++ b/packages/decisions/src/crashes/suspicion.ts
@@ -19,8 +19,8 @@
 export const CRASHES_TO_QUARANTINE = 3
 /**
  * Crashes of one request that may be excused; without a limit it would be retried throughout an
- * unrelated outage. With it, an innocent request is quarantined only after five crashes in successive
- * runs.
+ * unrelated outage. With it, an innocent request is quarantined only after five crashes in
+ * successive runs, without a completed one between.
  */
 export const MAX_EXCUSED_CRASHES = 2
 
--- a/packages/decisions/src/freshness/confirmation.ts
+++ b/packages/decisions/src/freshness/confirmation.ts
@@ -21,7 +21,7 @@
 
 /** Age of a peer's proof, with the data that translates it to the receiver's clock. */
 export interface PeerProof {
-  /** Timestamp of the receiver's clock that the peer returns. */
+  /** Timestamp of the receiver's clock, which the peer returns; taken before `heldFor` began. */
   echo: Milliseconds
   /** How long the peer held that timestamp before it sent this message. */
   heldFor: Milliseconds
--- a/packages/decisions/src/freshness/resolveFreshness.ts
+++ b/packages/decisions/src/freshness/resolveFreshness.ts
@@ -7,10 +7,10 @@
 
 /**
  * Decides whether a box may serve with its copy. `confirmed`: the copy was the store's newest
- * revision within the last `maxConfirmationAge`. `vouched`: the store is unavailable, a majority of each
- * relevant voter set reports so too, and none of that majority has a newer revision. A change is
- * written only after a majority has acknowledged its announcement, so every vouching majority
- * contains a box that knows of it; boxes enforce an announced change together with the present
+ * revision within the last `maxConfirmationAge`. `vouched`: the store is unavailable, a majority of
+ * each relevant voter set reports so too, and none of that majority has a newer revision. A change
+ * is written only after a majority has acknowledged its announcement, so every vouching majority
+ * contains a box that received it; boxes enforce an announced change together with the present
  * table until it is settled.
  */
 export function resolveFreshness(state: TableState, now: Milliseconds): Freshness {
--- a/packages/decisions/src/listing/exchangeHealth.ts
+++ b/packages/decisions/src/listing/exchangeHealth.ts
@@ -99,7 +99,7 @@
   health.ejections++
   health.ejectedUntil = now + duration
   health.consecutiveLosses = 0
-  // Starts just below the limit, so two more bad outcomes eject the upstream again.
+  // Just below the limit: one more bad outcome ejects the upstream again, unless others fail too.
   health.badShare = MIN_OUTLIER_SHARE * 0.75
 }
 
--- a/packages/decisions/src/listing/pickUpstream.ts
+++ b/packages/decisions/src/listing/pickUpstream.ts
@@ -8,8 +8,8 @@
   random: Random
   prompt?: PrefillWork
   /**
-   * Whether every box sends its pending work to every other box directly. Otherwise that of others
-   * is known for this data centre only, and lags by about 100 ms. Defaults to true.
+   * Whether every box sends its pending work to every other box directly. Otherwise only that of
+   * boxes in this data centre is known, and lags by about 100 ms. Defaults to true.
    */
   knowsRemoteWork?: boolean
   /** Size of the request body, transferred when the upstream is in another data centre. */
--- a/packages/decisions/src/rollouts/rollout.ts
+++ b/packages/decisions/src/rollouts/rollout.ts
@@ -91,7 +91,7 @@
 
 /** Steps of a rollout. Instants are fractions of its duration, 0 to 1. */
 export interface RampPlan {
-  /** Share of requests that go to the target during the trial (canary) phase, 0 to 1. */
+  /** Share of requests that go to the target on trial, 0 to 1; at first a fraction of it. */
   trialShare: number
   /** From here on all new requests go to the target and the old version drains. */
   fullTrafficFrom: number
@@ -101,8 +101,8 @@
 
 /**
  * Plans a ramp whose total exposure over the duration stays within `limit`, even if a bad version
- * is never detected: a constant trial share first, all requests only at the very end. The long
- * trial detects late faults while the old version still runs.
+ * is never detected: a small trial share for most of the time, all requests only at the very end.
+ * The long trial detects late faults while the old version still runs.
  */
 export function planRamp({ duration }: RolloutOrder, limit: ExposureLimit): RampPlan {
   const completeFrom = 1 - COMPLETION_MARGIN / duration
--- a/packages/decisions/src/routes/configuration.ts
+++ b/packages/decisions/src/routes/configuration.ts
@@ -1,8 +1,8 @@
 import type { Milliseconds } from '../types/clock.js'
 
 /**
- * Retry policy: `safe` calls are always retried, `unsafe` ones never, `streaming` ones when the
- * route is resumable.
+ * Whether a request that may have run can be retried: `safe` calls always, `unsafe` ones never,
+ * `streaming` ones when the route is resumable.
  */
 export type RouteKind = 'safe' | 'unsafe' | 'streaming'
 
--- a/packages/decisions/src/upstreams/upstreamView.ts
+++ b/packages/decisions/src/upstreams/upstreamView.ts
@@ -147,8 +147,8 @@
 }
 
 /**
- * Counts a failure caused by the upstream. Consecutive failures eject it, with exponential
- * back-off.
+ * Counts a failure caused by the upstream. Consecutive failures eject it, for twice as long each
+ * time up to `MAX_EJECTION`.
  */
 export function recordFailure(view: UpstreamView, now: Milliseconds): void {
   const health = view.health
--- a/packages/decisions/test/routing.test.ts
+++ b/packages/decisions/test/routing.test.ts
@@ -89,8 +89,8 @@
         }),
         fc.integer({ min: -100_000, max: 100_000 }),
         ({ delay, readAge, wait }, offset) => {
-          // The box sends at 0 on its own clock; the peer receives it after `delay`, on a clock that
-          // is `offset` ahead.
+          // The box sends at 0 on its own clock; the peer receives it after `delay`, on a clock
+          // that is `offset` ahead.
           const peerReceivedAt = delay + offset
           const peerReadAt = peerReceivedAt - readAge
           const peerSentAt = peerReceivedAt + wait
