--- a/packages/box/src/createBox.ts
+++ b/packages/box/src/createBox.ts
@@ -59,7 +59,7 @@
 }
 
 /**
- * A box answers callers and coordinates with other boxes through the store and direct connections.
+ * A box answers callers and coordinates with other boxes through the store and direct links.
  */
 export interface Box {
   readonly identity: PeerIdentity
@@ -307,7 +307,7 @@
     messageHandlers[message.type]?.(from, message as never)
   }
 
-  /** Takes over the bills of a stopped or silent box, and removes it from load and demand. */
+  /** Takes over the bills of an exited or silent box, and removes it from load and demand. */
   function removePeer(voter: VoterId): void {
     upstreams.dropPeer(voter)
     allowances.dropPeer(voter)
--- a/packages/box/src/node/httpPlatform.ts
+++ b/packages/box/src/node/httpPlatform.ts
@@ -27,7 +27,7 @@
   responses?: { response_range?: { kvs?: EncodedRow[] } }[]
 }
 
-/** Addresses (`host:port`) of the platform's services. Reads of an absent service return undefined. */
+/** Addresses (`host:port`) of the platform's services. Reads without an address give undefined. */
 export interface PlatformAddresses {
   table: string
   boxList?: string | undefined
@@ -66,7 +66,7 @@
     }
   }
   return {
-    /** Reads all keys in one transaction, so that the rows share a revision and count as one read. */
+    /** Reads all keys in one transaction: the rows share a revision and count as one read. */
     async read(keys): Promise<ReadOutcome> {
       const ranges = keys.map(key => ({ request_range: { key: encodeBase64(key) } }))
       try {
@@ -112,7 +112,7 @@
     { signal: AbortSignal.timeout(REQUEST_TIMEOUT) },
   )
   const text = await readText(answer.body)
-  // An error status doesn't tell whether the write was applied.
+  // An error status doesn't show whether the write was applied.
   if (answer.status !== 200) throw new UpstreamFailure('maybe', `status ${answer.status}`)
   return JSON.parse(text)
 }
--- a/packages/box/src/node/upstreamClient.ts
+++ b/packages/box/src/node/upstreamClient.ts
@@ -72,7 +72,7 @@
   }
 }
 
-/** Passes chunks to `onChunk`: a promise pauses the stream until it resolves, 'stop' destroys it. */
+/** Passes chunks to `onChunk`: a promise pauses the stream until resolved, 'stop' destroys it. */
 function pumpStream(body: Readable, onChunk: (chunk: Uint8Array) => ChunkOutcome): Promise<void> {
   return new Promise((resolve, reject) => {
     body.on('data', (chunk: Uint8Array) => {
--- a/packages/box/src/node/wsTransport.ts
+++ b/packages/box/src/node/wsTransport.ts
@@ -57,7 +57,7 @@
 
   constructor(private readonly options: WsTransportOptions) {}
 
-  /** Starts accepting links. Returns the bound `host:port`. Rejects if the address can't be bound. */
+  /** Starts accepting links. Resolves with the bound `host:port`; rejects if it can't be bound. */
   async open(): Promise<string> {
     const { tls, listen } = this.options
     const server = tls
--- a/packages/box/src/requests/eventStream.ts
+++ b/packages/box/src/requests/eventStream.ts
@@ -38,7 +38,7 @@
   }
 }
 
-/** Calls `take` for each piece of an answer's body, through `forEachChunk` where the client offers it. */
+/** Calls `take` for each piece of an answer's body; uses `forEachChunk` if the client has it. */
 export async function forEachPiece(
   answer: Pick<UpstreamAnswer, 'body' | 'forEachChunk'>,
   take: (piece: Buffer) => ChunkOutcome,
@@ -62,7 +62,7 @@
   }
 }
 
-/** The `model` field of an answer, read from its first 1,024 bytes. */
+/** The `model` field of an answer. Of bytes, only the first 1,024 are searched. */
 export function modelOf(bytes: Uint8Array | string): string | undefined {
   const text = typeof bytes === 'string' ? bytes : toBuffer(bytes).toString('latin1', 0, 1_024)
   return /"model"\s*:\s*"([^"]*)"/.exec(text)?.[1]
--- a/packages/box/src/requests/sendToUpstream.ts
+++ b/packages/box/src/requests/sendToUpstream.ts
@@ -39,8 +39,8 @@
  *
  * - `whole`: completed, which clears the request of crash suspicion
  * - `well`: no fault of the upstream, for example cancelled by the caller
- * - `badly`: an error status of the upstream
- * - `broken`: the connection failed; the upstream process may have crashed
+ * - `badly`: an error status that counts as a failure of the upstream
+ * - `broken`: cut off, unreachable or timed out; the upstream process may have crashed
  * - `turned-away`: rejected with a `Retry-After`
  */
 export type AnswerEnd = 'badly' | 'broken' | 'turned-away' | 'well' | 'whole'
@@ -67,8 +67,8 @@
 
 /**
  * Sends a request to the best upstream. A failed attempt that did not run is retried at another
- * upstream; one that may have run is retried only if `plan.isRetryable`. Each retry takes a token of
- * the retry budget.
+ * upstream; one that may have run is retried only if `plan.isRetryable`. Each retry takes a token
+ * of the retry budget.
  */
 export async function sendToUpstream(
   context: RequestContext,
--- a/packages/box/src/requests/suspectAttempts.ts
+++ b/packages/box/src/requests/suspectAttempts.ts
@@ -15,7 +15,7 @@
 /** Time after which a trial at another box is likely to have ended. */
 const BUSY_RETRY_DELAY: Milliseconds = 1_000
 
-/** Attempts of one request. Retries wait for `CrashSuspects`, so as not to crash more upstreams. */
+/** Attempts of one request. Each waits for `CrashSuspects`, so as not to crash more upstreams. */
 export class SuspectAttempts {
   readonly #suspect: SuspectRequest
   /** Resolves when the upstream of the last broken answer has been probed for a crash. */
--- a/packages/box/src/tasks/allowanceTask.ts
+++ b/packages/box/src/tasks/allowanceTask.ts
@@ -67,7 +67,7 @@
     return takeToken(bucket, share, now)
   }
 
-  /** Reserves a request's maximum cost, in millionths; draws from the store if too little is left. */
+  /** Reserves a request's maximum cost, in millionths; draws from the store if needed. */
   async reserve(organisation: string, limit: LimitRow, amount: number): Promise<Reservation> {
     if (limit.spendPerDay === undefined) return 'reserved'
     const dayLimit = limit.spendPerDay * MICROS_PER_CURRENCY_UNIT
--- a/packages/box/src/tasks/crashSuspects.ts
+++ b/packages/box/src/tasks/crashSuspects.ts
@@ -81,8 +81,8 @@
  *
  * A crash makes suspects of all requests in flight at the process; a complete answer clears a
  * request. A suspect is on trial at one box at a time and apart from other suspects. From
- * `MIN_CRASHES_FOR_RESERVATION` crashes on its upstream is reserved for it, so that another crash identifies the
- * cause.
+ * `MIN_CRASHES_FOR_RESERVATION` crashes on, its upstream is reserved for it, so that another crash
+ * identifies the cause.
  */
 export class CrashSuspects {
   /** Requests that were answered completely at this box recently. */
@@ -278,7 +278,7 @@
     return true
   }
 
-  /** All shared suspects, for a newly connected box. */
+  /** All shared suspects, for a newly linked box. */
   updates(): SuspectUpdate[] {
     const known = this.#suspects.all().filter(({ crashes, isShared }) => crashes > 0 && isShared)
     return known.map(toUpdate)
--- a/packages/box/src/tasks/exposureTask.ts
+++ b/packages/box/src/tasks/exposureTask.ts
@@ -156,7 +156,7 @@
     return unsent
   }
 
-  /** Sends a newly connected peer all evidence again. */
+  /** Makes `evidenceFor` return all evidence again, for a newly linked peer. */
   forgetSent(peer: VoterId): void {
     this.#lastSentChange.delete(peer)
   }
--- a/packages/box/src/tasks/qualityTask.ts
+++ b/packages/box/src/tasks/qualityTask.ts
@@ -37,12 +37,12 @@
 /** A stage with this many ratings is no longer explored. */
 const MIN_RATINGS = 400
 /**
- * Fraction of requests whose answer is judged and sent regardless of its confidence. Without it,
+ * Fraction of requests whose answer is scored and sent regardless of its confidence. Without it,
  * ratings would exist only for answers that the plan accepts. It delays the first token until the
  * answer is complete.
  */
 const INITIAL_CALIBRATION_FRACTION = 0.25
-/** Ratings of judged answers from which `CALIBRATION_FRACTION` applies. */
+/** Ratings of scored answers from which `CALIBRATION_FRACTION` applies. */
 const MIN_CALIBRATION_RATINGS = 200
 const CALIBRATION_FRACTION = 0.02
 /** Weight of the newest request in the moving average of a kind's share of requests. */
@@ -60,7 +60,7 @@
   start: number
   /** Probability of a good answer by the plan, also when the request explores another stage. */
   predictedQuality: number
-  /** Whether the stage's answer is judged before it is sent. */
+  /** Whether the stage's answer is scored before it is sent. */
   isJudged(stage: number): boolean
   /** Whether an answer of this confidence is sent; otherwise the next stage runs. */
   accepts(stage: number, confidence: number): boolean
@@ -93,7 +93,7 @@
 
   constructor(private readonly options: QualityTaskOptions) {}
 
-  /** Chooses the start stage. `mayWait`: the first token may wait until an answer is judged. */
+  /** Chooses the start stage. `mayWait`: the first token may wait until an answer is scored. */
   choose(
     limit: LimitRow,
     organisation: string,
--- a/packages/box/src/tasks/recentCrashes.ts
+++ b/packages/box/src/tasks/recentCrashes.ts
@@ -1,6 +1,6 @@
 import type { Clock, Milliseconds } from '@yewkeel/decisions'
 
-/** Crashes this close together without a common request are taken to have another cause. */
+/** Crashes this close together without a common request are taken not to be due to a request. */
 const SIMULTANEOUS_WINDOW: Milliseconds = 200
 /** Other simultaneous crashes needed, so that crashes by two separate requests don't count. */
 const MIN_OTHER_CRASHES = 2
--- a/packages/box/src/tasks/reconcileBill.ts
+++ b/packages/box/src/tasks/reconcileBill.ts
@@ -18,9 +18,9 @@
 }
 
 /**
- * Asks the engine for the usage of a request whose box has stopped. Returns the closed bill, `void`
- * when there is nothing to bill or the bill is already stored, or undefined when the caller must
- * retry later.
+ * Asks the engine for the usage of a request whose box exited or is silent. Returns the closed
+ * bill, `void` when there is nothing to bill or the bill is already stored, or undefined when the
+ * caller must retry later.
  */
 export async function reconcileBill(
   bill: Bill,
--- a/packages/box/src/tasks/tableTask.ts
+++ b/packages/box/src/tasks/tableTask.ts
@@ -193,7 +193,7 @@
     })
   }
 
-  /** Adds this box to the voter set; the first live voter also removes stopped ones. */
+  /** Adds this box to the voter set; the first live voter also removes exited ones. */
   async #register(): Promise<void> {
     const { self } = this.options
     const { voters, gone } = this.#state
--- a/packages/box/src/types/context.ts
+++ b/packages/box/src/types/context.ts
@@ -72,7 +72,7 @@
   /** An attempt may have run upstream: no later refusal may claim the opposite. */
   mayHaveRun: boolean
   span: Span
-  /** Set by the authentication and limit filters, as are `limit` and `rights`. */
+  /** Set by the filters, as are `limit` and `rights`. */
   organisation: string
   limit: LimitRow
   /** Resolved tables, all of which must allow the request. */
--- a/packages/box/src/types/peerMessage.ts
+++ b/packages/box/src/types/peerMessage.ts
@@ -26,7 +26,7 @@
 /** `leaving`: the box drains. */
 export type BoxState = 'starting' | 'serving' | 'leaving'
 
-/** Sent to each connected box several times a second. */
+/** Sent to each linked box several times a second. */
 export interface Heartbeat {
   type: 'heartbeat'
   sequence: number
@@ -55,7 +55,7 @@
   evidence: EvidenceCounter[]
   /** Versions whose exposure was halted, and halts that were lifted. */
   halts: Halt[]
-  /** Incarnations known to have stopped. */
+  /** Incarnations known to have exited. */
   gone: VoterId[]
   /** Engines that drain for a change of version. */
   emptying: string[]
--- a/packages/box/src/types/ports.ts
+++ b/packages/box/src/types/ports.ts
@@ -88,16 +88,16 @@
 
 export interface PeerListener<Message = PeerMessage> {
   onMessage(from: PeerIdentity, message: Message): void
-  /** A new connection is open; messages sent over an earlier one may be lost. */
+  /** A new link is open; messages sent over an earlier one may be lost. */
   onConnected(peer: PeerIdentity): void
 }
 
-/** Connections to other boxes. Messages arrive in order, or the connection closes. */
+/** Links to other boxes. Messages arrive in order, or the link closes. */
 export interface PeerTransport<Message = PeerMessage> {
   listen(listener: PeerListener<Message>): void
-  /** Connects to these peers and disconnects from all others. */
+  /** Keeps links to these peers and closes all others. */
   link(peers: readonly PeerAddress[]): void
-  /** False when the peer is not connected. */
+  /** False when there is no link to the peer. */
   send(to: string, message: Message): boolean
   close(): Promise<void>
 }
--- a/packages/box/test/httpServer.test.ts
+++ b/packages/box/test/httpServer.test.ts
@@ -17,7 +17,7 @@
 }
 
 describe('HTTP server', () => {
-  it('refuses a body over the limit with status 413 and the verdict not-run, without calling the handler', async () => {
+  it('refuses a body over the limit with status 413 and the verdict not-run', async () => {
     let handled = 0
     const server = await startServer(async () => void handled++)
     const answer = await request(`http://${server.address}/`, {
--- a/packages/box/test/tableService.contract.test.ts
+++ b/packages/box/test/tableService.contract.test.ts
@@ -104,7 +104,7 @@
       expect(answer.outcome === 'read' && answer.rows).to.have.length(1)
     })
 
-    it('answers unavailable to reads, and does not apply writes, while the store is down', async () => {
+    it('answers unavailable to reads and applies no write while the store is down', async () => {
       fixture.table.faults.down = true
       expect(await write('a', '1')).to.be.oneOf(['unavailable', 'unknown'])
       expect(await fixture.service.read(['a'])).to.deep.equal({ outcome: 'unavailable' })
