--- a/packages/box/test/crashSuspects.test.ts
+++ b/packages/box/test/crashSuspects.test.ts
@@ -112,7 +112,7 @@
     expect(box!.quarantined).to.deep.equal([])
   })
 
-  it('gives the trial to one of two concurrent claims; the other waits for its timeout', async () => {
+  it('gives one of two concurrent claims the trial; the other waits for its timeout', async () => {
     const clock = new ManualClock()
     const boxes = createBoxes(clock, 2)
     crash(boxes[0]!, 'suspect', 'engine-1')
--- a/packages/box/test/httpServer.test.ts
+++ b/packages/box/test/httpServer.test.ts
@@ -17,7 +17,7 @@
 }
 
 describe('HTTP server', () => {
-  it('refuses a body over the limit with status 413 and the verdict not-run', async () => {
+  it('answers 413 and not-run to a body over the limit, without calling the handler', async () => {
     let handled = 0
     const server = await startServer(async () => void handled++)
     const answer = await request(`http://${server.address}/`, {
--- a/packages/box/test/tls.test.ts
+++ b/packages/box/test/tls.test.ts
@@ -102,7 +102,7 @@
     await Promise.all([a.transport.close(), b.transport.close()])
   })
 
-  it('fail with a log line when another authority issued the certificate', async () => {
+  it('fail with a log line when another authority issued the certificate of the connecting box', async () => {
     const [trusted, untrusted] = [await createAuthority('boxes'), await createAuthority('others')]
     const b = await openTransport('b', await createTls(trusted, trusted))
     const failed = new Promise<string>(resolve => {
