--- a/packages/gateway/test/testFleet.ts
+++ b/packages/gateway/test/testFleet.ts
@@ -128,7 +128,7 @@
       store.calls++
       await sleep(NETWORK_DELAY)
       if (store.isOut || box().isStoreUnavailable)
-        throw new Error('simulated store outage (store.isOut or isTurnedAway)')
+        throw new Error('simulated store outage (store.isOut or isStoreUnavailable)')
       const value = work()
       await sleep(NETWORK_DELAY)
       return value
--- a/packages/proof/src/models/drainModel.ts
+++ b/packages/proof/src/models/drainModel.ts
@@ -36,7 +36,7 @@
 export function createDrainModel(mutation?: DrainMutation): Model<DrainModelState, DrainAction> {
   return {
     name: 'drain',
-    scope: "drainTransition and takesNewRequests are the product's own",
+    scope: "drainTransition and acceptsNewRequests are the product's own",
     initial: () => ({
       now: 0,
       drain: createDrainState(ADDRESS_TTL),
--- a/packages/proof/src/models/tableModel.ts
+++ b/packages/proof/src/models/tableModel.ts
@@ -131,7 +131,7 @@
   return {
     name: `table in force (${faults.join(', ')})`,
     scope:
-      "tableTransition, resolveFreshness and resolveTablesInDoubt are the product's own; the store is an abstraction",
+      "tableTransition, resolveFreshness and resolvePossibleTables are the product's own; the store is an abstraction",
     initial: () => ({
       now: 0,
       boxes: Object.fromEntries([A, B, C].map(box => [box, createBox(box, limits)])),
--- a/packages/soak/src/world/advertisements.ts
+++ b/packages/soak/src/world/advertisements.ts
@@ -47,7 +47,7 @@
   }))
 }
 
-export interface StatementsOptions {
+export interface AdvertisementsOptions {
   planned: readonly PlannedAdvertisement[]
   upstreams: Upstreams
   evidence: Evidence
@@ -58,7 +58,7 @@
 export class Advertisements {
   readonly #timers: NodeJS.Timeout[] = []
 
-  constructor(private readonly options: StatementsOptions) {}
+  constructor(private readonly options: AdvertisementsOptions) {}
 
   start(): void {
     for (const advertisement of this.options.planned)
